--- a/turnward/gateway/accounts.py
+++ b/turnward/gateway/accounts.py
@@ -10,11 +10,11 @@
     "ROW_NAME",
     "TABLE",
     "AccountRow",
-    "as_successor",
+    "with_prior_version",
     "change_grant",
     "decode_account",
     "encode_account",
-    "fold_ended",
+    "fold_predecessors",
     "restore_account",
     "taken_tokens",
     "ungranted_tokens",
@@ -131,7 +131,7 @@
     return msgspec.structs.replace(account, granted_tokens=granted)
 
 
-def fold_ended(
+def fold_predecessors(
     account: AccountRow, node: str, incarnation: str, bounds: dict[str, int]
 ) -> AccountRow:
     """Return the account with the grants of a node's earlier incarnations folded.
@@ -154,7 +154,7 @@
     )
 
 
-def as_successor(account: AccountRow, version: int, era: int | None) -> AccountRow:
+def with_prior_version(account: AccountRow, version: int, era: int | None) -> AccountRow:
     """Return a row as it is written in an era, in place of the row with a version."""
     version = RowVersion(version)
     return msgspec.structs.replace(
--- a/turnward/gateway/end_reserve.py
+++ b/turnward/gateway/end_reserve.py
@@ -21,13 +21,13 @@
     ----------
     share : float
         Part of the limit; 0 keeps nothing.
-    spread_s : float
+    release_s : float
         Seconds over which the reserve is handed out once nothing else is left. Measured in
         decision 16: slower, and too few are served after a loss of power.
     """
 
     share: float = 0.0
-    spread_s: float = 25.0
+    release_s: float = 25.0
 
 
 class EndReserve:
@@ -62,22 +62,22 @@
         """
         return int(self._rule.share * row.limit_tokens)
 
-    def open_tokens(self, row: AccountRow) -> int:
+    def available_tokens(self, row: AccountRow) -> int:
         """Return what any request may have of what is ungranted; below 0 if it was recalled."""
         left = ungranted_tokens(row)
         return left if left < 0 else max(0, left - self.tokens(row))
 
-    def lets_through(self, row: AccountRow, tokens: int, now_s: float) -> bool:
+    def admit_request(self, row: AccountRow, tokens: int, now_s: float) -> bool:
         """Tell whether a request that nothing else is left for gets a part of the reserve."""
         left = min(self.tokens(row), ungranted_tokens(row))
         if left < tokens:
             return False
         # Nobody needed it for so long: the limit was raised meanwhile, and is used up again.
-        enough_meanwhile = now_s - self._asked_s > self._rule.spread_s
+        enough_meanwhile = now_s - self._asked_s > self._rule.release_s
         self._asked_s = now_s
         if left > self._begun_tokens or enough_meanwhile:
             self._begun_s = now_s
             self._begun_tokens = left
-        passed = (now_s - self._begun_s) / self._rule.spread_s
+        passed = (now_s - self._begun_s) / self._rule.release_s
         released = self._begun_tokens * passed + self._head_start * tokens
         return self._begun_tokens - left + tokens <= released
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -19,7 +19,7 @@
 from turnward.gateway.endpoint_record import EndpointRecord
 from turnward.gateway.outcomes import PROMISES_NOT_RUN, NoRepeat, Outcome, Reason
 from turnward.gateway.pool_entry import PoolEntry
-from turnward.gateway.prepaid import BudgetAnswer, PrepaidAccounts
+from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.progress import StreamProgress
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
 from turnward.gateway.retries import RepeatAllowance, RepeatRule
@@ -289,10 +289,10 @@
 
     def _reserved(self, answer) -> None:
         self._waiting = None
-        if isinstance(answer, BudgetAnswer):
+        if isinstance(answer, BudgetRefusal):
             if self._over:
                 return
-            if answer is BudgetAnswer.EXHAUSTED:
+            if answer is BudgetRefusal.EXHAUSTED:
                 self._refuse(402, Reason.BUDGET_EXHAUSTED)
             else:
                 self._refuse(503, Reason.BUDGET_UNREACHABLE)
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -391,7 +391,7 @@
             loan = Loan(self._accounts.lend(ask))
             request.answer(200, [], msgspec.msgpack.encode(loan))
             return
-        lending = self._accounts.lend_to_request(ask)
+        lending = self._accounts.lend_for_request(ask)
         request.on_gone = lending.cancel
 
         def answer(loan: Loan) -> None:
@@ -402,7 +402,7 @@
 
     def _take_back(self, request: InboundRequest, returned: LoanReturn) -> None:
         """Take in tokens that a peer has no use for."""
-        self._accounts.take_back(returned)
+        self._accounts.accept_return(returned)
         request.answer(200, [])
 
     async def call(self, address: str, path: bytes, body: bytes, timeout_s: float) -> bytes | None:
--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -23,14 +23,14 @@
     ROW_NAME,
     TABLE,
     AccountRow,
-    as_successor,
     change_grant,
     decode_account,
     encode_account,
-    fold_ended,
+    fold_predecessors,
     taken_tokens,
     ungranted_tokens,
     with_limit,
+    with_prior_version,
 )
 from turnward.gateway.borrowing import Borrower
 from turnward.gateway.configuration import Workspace
@@ -39,7 +39,7 @@
 from turnward.gateway.holders import EveryRouterHolds, HoldersBase
 from turnward.gateway.loans import LenderBase, Loan, LoanAsk, LoanReturn, LoanRule, Spare
 from turnward.gateway.restoring import AccountRestorer
-from turnward.gateway.spending import PromiseRule, SpendPromise, SpendReports, promise_for
+from turnward.gateway.spending import PromiseRule, SpendBound, SpendReports, spend_bound_for
 from turnward.gateway.workspace_account import WaitingRequest, WorkspaceAccount
 from turnward.ledger import BudgetView, GrantAsk, GrantLedger, Reservation, SizingRule
 from turnward.rows import (
@@ -53,7 +53,7 @@
     VersionedTransaction,
 )
 
-__all__ = ["BudgetAnswer", "PrepaidAccounts"]
+__all__ = ["BudgetRefusal", "PrepaidAccounts"]
 
 #: Seconds a request waits for a grant before it is refused.
 _WAIT_S = 0.3
@@ -63,7 +63,7 @@
 _PAUSE_S = 0.3
 #: Part of what was held at the last contact that is kept for more urgent requests, by step
 #: of priority, and at most.
-KEPT_BY_PRIORITY = 0.15
+WITHHELD_SHARE_PER_PRIORITY = 0.15
 _KEPT_LIMIT = 0.5
 #: Looks at rows a second that all routers together take, as long as each looks at least every
 #: so many seconds.
@@ -79,7 +79,7 @@
 _CONFLICT_LIMIT = 30
 
 
-class BudgetAnswer(StrEnum):
+class BudgetRefusal(StrEnum):
     """Why a request gets no tokens."""
 
     EXHAUSTED = "budget_exhausted"
@@ -103,13 +103,13 @@
         Told of each change of a grant.
     live_routers : callable
         How many routers may live; how often one of them may call the store follows from it.
-    promise_rule : PromiseRule, optional
+    bound_rule : PromiseRule, optional
         How tight the promises of reports are.
     loan_rule : LoanRule, optional
         How much is lent and borrowed.
-    end_rule : EndReserveRule, optional
+    end_reserve_rule : EndReserveRule, optional
         What is kept for the end of a limit.
-    kept_by_priority : float, optional
+    withheld_share_per_priority : float, optional
         Part of what was held at the last contact that is kept for more urgent requests
         while the store is away, by step of priority.
     reports : bool, optional
@@ -136,10 +136,10 @@
         rule: SizingRule,
         log,
         live_routers: Callable[[], int],
-        promise_rule: PromiseRule | None = None,
+        bound_rule: PromiseRule | None = None,
         loan_rule: LoanRule | None = None,
-        end_rule: EndReserveRule | None = None,
-        kept_by_priority: float = KEPT_BY_PRIORITY,
+        end_reserve_rule: EndReserveRule | None = None,
+        withheld_share_per_priority: float = WITHHELD_SHARE_PER_PRIORITY,
         reports: bool = True,
         holders: HoldersBase | None = None,
     ):
@@ -153,10 +153,10 @@
         self._holders = holders or EveryRouterHolds(live_routers)
         self.holder_client: HolderClient | None = None
         self._rule = rule
-        self._promise_rule = promise_rule or PromiseRule()
+        self._promise_rule = bound_rule or PromiseRule()
         self._loan_rule = loan_rule or LoanRule()
-        self._end_rule = end_rule or EndReserveRule()
-        self._kept_by_priority = kept_by_priority
+        self._end_rule = end_reserve_rule or EndReserveRule()
+        self._kept_by_priority = withheld_share_per_priority
         self._paused_until_s = 0.0
         self._lost_contact = False
         self._stopping = False
@@ -193,8 +193,8 @@
         are what the request may need later, see ``reserve_now``.
         """
         if not self._holds(workspace) and self.holder_client is not None:
-            return self._reserve_elsewhere(workspace, tokens, priority, ahead_tokens)
-        return self._reserve_here(workspace, tokens, priority)
+            return self._reserve_from_holder(workspace, tokens, priority, ahead_tokens)
+        return self._reserve_locally(workspace, tokens, priority)
 
     def _holds(self, workspace: str) -> bool:
         """Tell whether this router holds tokens of a workspace; keep the ledger in step.
@@ -207,11 +207,11 @@
             self.ledger.set_ahead(workspace, holds)
         return holds
 
-    def _reserve_here(self, workspace: str, tokens: int, priority: int):
+    def _reserve_locally(self, workspace: str, tokens: int, priority: int):
         """Reserve out of the own grant, or what the store and the peers add to it."""
         account = self._account(workspace)
         if self._lost_contact and self._is_kept(account, tokens, priority):
-            return self._refused(account, tokens, BudgetAnswer.UNREACHABLE, kept=True)
+            return self._refused(account, tokens, BudgetRefusal.UNREACHABLE, kept=True)
         reservation = self._try_reserve(workspace, tokens, first_try=True)
         if reservation is not None:
             if self.ledger.free_tokens(workspace) < tokens:
@@ -222,10 +222,10 @@
         exhausted = self._is_exhausted(account, workspace, tokens)
         if exhausted and not self._lets_through(account, tokens):
             self.work_on(workspace)
-            return self._refused(account, tokens, BudgetAnswer.EXHAUSTED)
+            return self._refused(account, tokens, BudgetRefusal.EXHAUSTED)
         if self._lost_contact and not lendable:
             # Waiting would only make the refusal late.
-            return self._refused(account, tokens, BudgetAnswer.UNREACHABLE)
+            return self._refused(account, tokens, BudgetRefusal.UNREACHABLE)
         waiter = WaitingRequest(tokens, exhausted)
         self._let_wait(account, waiter)
         no_help = self._lost_contact or self._restorer.waits_for_s > 0
@@ -243,8 +243,8 @@
         self._reactor.callLater(limit_s, self._give_up, account.workspace, waiter)
 
     def _refused(
-        self, account: WorkspaceAccount, tokens: int, answer: BudgetAnswer, kept: bool = False
-    ) -> BudgetAnswer:
+        self, account: WorkspaceAccount, tokens: int, answer: BudgetRefusal, kept: bool = False
+    ) -> BudgetRefusal:
         """Write a line on a refusal with what decided it; return the answer."""
         workspace = account.workspace
         self._log.failure(
@@ -253,7 +253,7 @@
             tokens=tokens,
             answer=answer,
             free=self.ledger.free_tokens(workspace),
-            promised=self._promised_tokens(workspace),
+            promised=self._reported_allowance_tokens(workspace),
             lendable=self._borrower.lendable_tokens(workspace),
             ungranted=ungranted_tokens(account.row) if account.row is not None else None,
             limit=account.row.limit_tokens if account.row is not None else None,
@@ -268,12 +268,12 @@
         if self._lost_contact:
             return False
         now_s = self._reactor.seconds()
-        return account.end_reserve.lets_through(account.row, tokens, now_s)
+        return account.end_reserve.admit_request(account.row, tokens, now_s)
 
     def _is_kept(self, account: WorkspaceAccount, tokens: int, priority: int) -> bool:
         """Tell whether a request would take what is kept for more urgent ones."""
         kept_share = min(_KEPT_LIMIT, self._kept_by_priority * priority)
-        kept = kept_share * account.free_in_contact
+        kept = kept_share * account.free_at_last_contact
         if kept <= 0:
             return False
         within_reach = self.ledger.free_tokens(account.workspace)
@@ -281,18 +281,18 @@
         return within_reach - tokens < kept
 
     def _try_reserve(self, workspace: str, tokens: int, first_try: bool) -> Reservation | None:
-        promised = self._promised_tokens(workspace)
+        promised = self._reported_allowance_tokens(workspace)
         if promised is not None and tokens > promised:
             # The promise of the last report is used up; a new one lets it go.
             return None
         result = self.ledger.reserve(workspace, tokens, self._reactor.seconds(), first_try)
         return result.ok if result.is_ok() else None
 
-    def _promised_tokens(self, workspace: str) -> int | None:
+    def _reported_allowance_tokens(self, workspace: str) -> int | None:
         """Return what the last report lets be committed; None: all that is free."""
-        return self._reports.allowance_tokens(workspace, self._own_committed(workspace))
+        return self._reports.allowance_tokens(workspace, self._own_committed_tokens(workspace))
 
-    def _own_committed(self, workspace: str) -> int:
+    def _own_committed_tokens(self, workspace: str) -> int:
         """Return what is settled or reserved under the own grant."""
         account = self._accounts.get(workspace)
         borrowed = account.borrowed_tokens if account is not None else 0
@@ -301,7 +301,7 @@
     def _spendable_tokens(self, workspace: str) -> int:
         """Return what may be reserved now."""
         free = max(0, self.ledger.free_tokens(workspace))
-        promised = self._promised_tokens(workspace)
+        promised = self._reported_allowance_tokens(workspace)
         return free if promised is None else max(0, min(free, promised))
 
     def reserve_now(self, workspace: str, tokens: int) -> Reservation | None:
@@ -317,7 +317,7 @@
 
     # Requests of workspaces that other routers hold.
 
-    def _reserve_elsewhere(self, workspace: str, tokens: int, priority: int, ahead_tokens: int):
+    def _reserve_from_holder(self, workspace: str, tokens: int, priority: int, ahead_tokens: int):
         """Reserve out of what a holder lends for this request."""
         reservation = self._try_reserve(workspace, tokens, first_try=False)
         if reservation is not None:
@@ -360,13 +360,13 @@
                 waiter.deferred.callback(reservation)
                 return
         if loan.exhausted or self._lost_contact:
-            answer = BudgetAnswer.EXHAUSTED if loan.exhausted else BudgetAnswer.UNREACHABLE
+            answer = BudgetRefusal.EXHAUSTED if loan.exhausted else BudgetRefusal.UNREACHABLE
             waiter.deferred.callback(self._refused(account, waiter.tokens, answer))
             return
         self._let_wait(account, waiter)
         self.work_on(account.workspace)
 
-    def lend_to_request(self, ask: LoanAsk) -> defer.Deferred:
+    def lend_for_request(self, ask: LoanAsk) -> defer.Deferred:
         """Return what a peer's request needs, got as though the request were an own one.
 
         The deferred fires with a ``Loan``; one that is cancelled lends nothing.
@@ -375,27 +375,27 @@
 
         def decide(answer) -> None:
             if not lending.called:
-                lending.callback(self._loan_of(ask, answer))
+                lending.callback(self._loan_from(ask, answer))
             elif isinstance(answer, Reservation):
                 self.settle(answer, 0)
 
-        answer = self._reserve_here(ask.workspace, max(1, ask.least_tokens), ask.priority)
+        answer = self._reserve_locally(ask.workspace, max(1, ask.least_tokens), ask.priority)
         if isinstance(answer, defer.Deferred):
             answer.addCallback(decide)
         else:
             decide(answer)
         return lending
 
-    def _loan_of(self, ask: LoanAsk, answer: Reservation | BudgetAnswer) -> Loan:
+    def _loan_from(self, ask: LoanAsk, answer: Reservation | BudgetRefusal) -> Loan:
         """Count a reservation as spent here, and what can be spared besides."""
-        if isinstance(answer, BudgetAnswer):
-            return Loan(0, exhausted=answer is BudgetAnswer.EXHAUSTED)
+        if isinstance(answer, BudgetRefusal):
+            return Loan(0, exhausted=answer is BudgetRefusal.EXHAUSTED)
         self.ledger.settle(answer, answer.tokens)
         self._log_lent(ask.workspace, answer.tokens)
         ahead = LoanAsk(ask.workspace, 0, ask.most_tokens - ask.least_tokens)
         return Loan(answer.tokens + self.lend(ahead))
 
-    def take_back(self, returned: LoanReturn) -> None:
+    def accept_return(self, returned: LoanReturn) -> None:
         """Take in what a peer was lent and has no use for."""
         account = self._account(returned.workspace)
         account.borrowed_tokens += returned.tokens
@@ -411,14 +411,14 @@
 
     def _hand_back(self, workspace: str, account: WorkspaceAccount) -> None:
         account.handing_back = True
-        done = defer.ensureDeferred(self._send_back(workspace))
+        done = defer.ensureDeferred(self._return_free_tokens(workspace))
         done.addErrback(self._failed, workspace)
         done.addBoth(lambda _: self._handed_back(account))
 
     def _handed_back(self, account: WorkspaceAccount) -> None:
         account.handing_back = False
 
-    async def _send_back(self, workspace: str) -> None:
+    async def _return_free_tokens(self, workspace: str) -> None:
         """Hand what is free to a holder; it counts as spent here before the message leaves."""
         reservation = self._reserve_part(workspace)
         if reservation is None:
@@ -440,9 +440,9 @@
 
     def _look_back(self) -> None:
         """Account for what earlier incarnations of this node held, until it is known."""
-        if self._reports.ended is not None:
+        if self._reports.predecessor_bounds is not None:
             return
-        looking = defer.ensureDeferred(self._reports.read_ended())
+        looking = defer.ensureDeferred(self._reports.read_predecessors())
         looking.addCallbacks(lambda _: self._work_on_ended(), self._look_back_failed)
 
     def _look_back_failed(self, failure) -> None:
@@ -450,7 +450,9 @@
         self._reactor.callLater(_LOOK_BACK_PAUSE_S, self._look_back)
 
     def _work_on_ended(self) -> None:
-        for workspace in {name for bounds in self._reports.ended.values() for name in bounds}:
+        for workspace in {
+            name for bounds in self._reports.predecessor_bounds.values() for name in bounds
+        }:
             self.work_on(workspace)
 
     def _tick(self) -> None:
@@ -531,9 +533,9 @@
             if account.waiters and self.lenders.spare(workspace):
                 self._borrow(account)
                 continue
-            self._refuse_waiters(account, BudgetAnswer.UNREACHABLE)
+            self._refuse_waiters(account, BudgetRefusal.UNREACHABLE)
 
-    def note_store_answers(self) -> None:
+    def note_store_reachable(self) -> None:
         """Note that the store answers this router, though it was not asked about tokens.
 
         A router that holds tokens learns it from its own calls; one that holds none makes
@@ -550,13 +552,13 @@
         if self._lost_contact:
             self._regain_contact()
         for workspace, account in self._accounts.items():
-            account.free_in_contact = self.ledger.free_tokens(workspace)
+            account.free_at_last_contact = self.ledger.free_tokens(workspace)
 
     def _ended(self, workspace: str, account: WorkspaceAccount) -> None:
         account.busy = False
         self._serve_waiters(workspace, account)
 
-    def _promises(self) -> dict[str, SpendPromise]:
+    def _promises(self) -> dict[str, SpendBound]:
         return {
             workspace: self._promise(workspace)
             for workspace in self.ledger.budgets()
@@ -569,18 +571,18 @@
         borrowed = account.borrowed_tokens if account is not None else 0
         return self.ledger.granted_tokens(workspace) > borrowed
 
-    def _promise(self, workspace: str) -> SpendPromise:
+    def _promise(self, workspace: str) -> SpendBound:
         account = self._accounts.get(workspace)
         waiting = account.waiting_tokens if account else 0
-        return promise_for(
-            self._own_committed(workspace),
+        return spend_bound_for(
+            self._own_committed_tokens(workspace),
             self.ledger.free_tokens(workspace),
             waiting,
             self.ledger.demand_tokens_per_s(workspace, self._reactor.seconds()),
-            self._rule_of_promise(workspace, account),
+            self._bound_rule_for(workspace, account),
         )
 
-    def _rule_of_promise(self, workspace: str, account: WorkspaceAccount | None) -> PromiseRule:
+    def _bound_rule_for(self, workspace: str, account: WorkspaceAccount | None) -> PromiseRule:
         """Return a tighter rule where little is left of a workspace's limit.
 
         What the others hold is guessed to be what is held here, for each.
@@ -643,8 +645,8 @@
 
     async def _look(self, workspace: str, account: WorkspaceAccount) -> None:
         """Learn from the store what is not known, or no longer fresh."""
-        if self._reports.ended is None:
-            await self._reports.read_ended()
+        if self._reports.predecessor_bounds is None:
+            await self._reports.read_predecessors()
         if not self._restorer.is_current(account):
             row = await self._restorer.restore(account)
             if row is None:
@@ -675,10 +677,10 @@
         return GrantAsk(short, most)
 
     def _grantable(self, account: WorkspaceAccount, ask: GrantAsk) -> int:
-        if account.draws_on_reserve:
+        if account.all_from_reserve:
             left = ungranted_tokens(account.row)
             return min(ask.least_tokens, left) if left >= ask.least_tokens else 0
-        left = account.end_reserve.open_tokens(account.row)
+        left = account.end_reserve.available_tokens(account.row)
         shared = int(left * self.ledger.rule.share)
         tokens = min(ask.most_tokens, max(ask.least_tokens, shared))
         if tokens <= left:
@@ -733,7 +735,7 @@
         held = account.row.granted_tokens.get(self._incarnation, 0)
         spent = taken_tokens(account.row) - held
         view = BudgetView(
-            account.row.limit_tokens, account.end_reserve.open_tokens(account.row), spent
+            account.row.limit_tokens, account.end_reserve.available_tokens(account.row), spent
         )
         self.ledger.observe(workspace, view, self._reactor.seconds())
 
@@ -779,7 +781,7 @@
     def _changed_grant(self, row: AccountRow, delta_tokens: int, version: int) -> AccountRow:
         """Return a row with the own grant changed, to be written in place of one with a version."""
         changed = change_grant(row, self._incarnation, delta_tokens)
-        return as_successor(changed, version, self._store.eras.known)
+        return with_prior_version(changed, version, self._store.eras.known)
 
     def _log_fold(self, workspace: str, row: AccountRow, folded: AccountRow) -> None:
         held = sum(row.granted_tokens.values()) - sum(folded.granted_tokens.values())
@@ -791,10 +793,10 @@
     def _fold(self, workspace: str, row: AccountRow) -> AccountRow:
         bounds = {
             incarnation: by_workspace[workspace]
-            for incarnation, by_workspace in self._reports.ended.items()
+            for incarnation, by_workspace in self._reports.predecessor_bounds.items()
             if workspace in by_workspace
         }
-        return fold_ended(row, self._node, self._incarnation, bounds)
+        return fold_predecessors(row, self._node, self._incarnation, bounds)
 
     async def _resolve(self, workspace: str, account: WorkspaceAccount) -> None:
         """Learn what became of a write whose answer was lost.
@@ -902,13 +904,13 @@
         elif account.waiters:
             self.work_on(workspace)
 
-    def _refuse_waiters(self, account: WorkspaceAccount, answer: BudgetAnswer) -> None:
+    def _refuse_waiters(self, account: WorkspaceAccount, answer: BudgetRefusal) -> None:
         waiters, account.waiters = account.waiters, []
         for waiter in waiters:
             waiter.deferred.callback(self._refused(account, waiter.tokens, answer))
 
-    def _shortage(self, account: WorkspaceAccount) -> BudgetAnswer:
-        return BudgetAnswer.UNREACHABLE if self._lost_contact else BudgetAnswer.EXHAUSTED
+    def _shortage(self, account: WorkspaceAccount) -> BudgetRefusal:
+        return BudgetRefusal.UNREACHABLE if self._lost_contact else BudgetRefusal.EXHAUSTED
 
     def _store_has_too_little(self, account: WorkspaceAccount, workspace: str) -> bool:
         """Tell whether the store can't give what waiting requests need."""
@@ -916,7 +918,7 @@
             return False
         waiting = account.waiting_tokens
         short = waiting - max(0, self.ledger.free_tokens(workspace))
-        return max(0, account.end_reserve.open_tokens(account.row)) < short
+        return max(0, account.end_reserve.available_tokens(account.row)) < short
 
     # Waiting requests.
 
@@ -927,7 +929,7 @@
             if reservation is not None:
                 waiter.deferred.callback(reservation)
             elif not account.borrowing and self._has_no_hope(account, waiter):
-                answer = self._refused(account, waiter.tokens, BudgetAnswer.EXHAUSTED)
+                answer = self._refused(account, waiter.tokens, BudgetRefusal.EXHAUSTED)
                 waiter.deferred.callback(answer)
             else:
                 account.waiters.append(waiter)
@@ -936,7 +938,7 @@
         account = self._account(workspace)
         if waiter in account.waiters:
             account.waiters.remove(waiter)
-            answer = self._refused(account, waiter.tokens, BudgetAnswer.UNREACHABLE)
+            answer = self._refused(account, waiter.tokens, BudgetRefusal.UNREACHABLE)
             waiter.deferred.callback(answer)
             # Whoever comes before the store has answered is refused without this wait.
             self._lose_contact()
@@ -953,7 +955,7 @@
             return False
         free = max(0, self.ledger.free_tokens(workspace))
         lendable = self._borrower.lendable_tokens(workspace)
-        return max(0, account.end_reserve.open_tokens(account.row)) + free + lendable < tokens
+        return max(0, account.end_reserve.available_tokens(account.row)) + free + lendable < tokens
 
     def stop(self) -> None:
         """Give back from now on what is not reserved, before a planned stop."""
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -34,7 +34,7 @@
 from turnward.gateway.metrics import GatewayMetrics
 from turnward.gateway.peer_book import DIGEST_LAYOUT, Digest, PeerBook
 from turnward.gateway.peers import PeerTask
-from turnward.gateway.prepaid import KEPT_BY_PRIORITY, PrepaidAccounts
+from turnward.gateway.prepaid import WITHHELD_SHARE_PER_PRIORITY, PrepaidAccounts
 from turnward.gateway.quarantine_rows import QuarantineRows
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.refused_rows import RefusedRow
@@ -214,8 +214,10 @@
             _SIZING,
             log,
             lambda: self.book.most_live,
-            end_rule=EndReserveRule(share=settings.budget_reserve_share),
-            kept_by_priority=KEPT_BY_PRIORITY if settings.mechanisms.urgency_in_cut else 0.0,
+            end_reserve_rule=EndReserveRule(share=settings.budget_reserve_share),
+            withheld_share_per_priority=WITHHELD_SHARE_PER_PRIORITY
+            if settings.mechanisms.urgency_in_cut
+            else 0.0,
             reports=settings.mechanisms.spend_reports,
             holders=self.holders,
         )
@@ -363,7 +365,7 @@
     def _health_of(self, table: str):
         def note(works: bool, cause: str = "") -> None:
             if works:
-                self.accounts.note_store_answers()
+                self.accounts.note_store_reachable()
             else:
                 self._store_away_s = self._reactor.seconds()
             if self._feed_health.get(table) == works:
--- a/turnward/gateway/restoring.py
+++ b/turnward/gateway/restoring.py
@@ -12,12 +12,12 @@
     ROW_NAME,
     TABLE,
     AccountRow,
-    as_successor,
     decode_account,
     encode_account,
     restore_account,
     taken_tokens,
     with_limit,
+    with_prior_version,
 )
 from turnward.gateway.workspace_account import WorkspaceAccount
 from turnward.ledger import GrantLedger
@@ -144,7 +144,7 @@
             if wanted == stored:
                 return self._in_line(account, row)
             expected = 0 if row.gone else row.version
-            wanted = as_successor(wanted, expected, wanted.era)
+            wanted = with_prior_version(wanted, expected, wanted.era)
             value = encode_account(with_limit(wanted, *account.limit))
             change = RowChange(key, value, expected)
             try:
--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -29,7 +29,7 @@
     VersionedTransaction,
 )
 
-__all__ = ["PromiseRule", "SpendPromise", "SpendReport", "SpendReports", "promise_for"]
+__all__ = ["PromiseRule", "SpendBound", "SpendReport", "SpendReports", "spend_bound_for"]
 
 TABLE = "spending"
 #: Seconds between two reports while tokens are held, at least and at most.
@@ -55,15 +55,15 @@
     burst_s, burst_tokens : float, int
         What may be spent at once after a report: so many seconds of demand,
         and at least so many tokens.
-    burst_share, burst_limit_tokens : float, int
+    burst_share, max_burst_tokens : float, int
         The bursts of all routers together are this part of a workspace's
         limit, if that is more for each, up to so many tokens for one router:
         a single request may be much larger than what is asked for in a second.
     pace : float
         How much faster than the demand may be spent from then on.
-    late_s : float
+    relax_after_s : float
         Seconds after a report from which more is promised.
-    spread_s : float
+    spend_all_s : float
         Seconds from then on in which all that is held may be spent.
     scarce_share : float
         Part of a limit that is taken for little: tokens lost with a process
@@ -75,10 +75,10 @@
     burst_s: float = 1.0
     burst_tokens: int = 3_000
     burst_share: float = 0.2
-    burst_limit_tokens: int = 24_000
-    pace: float = 1.0
-    late_s: float = 4.0
-    spread_s: float = 8.0
+    max_burst_tokens: int = 24_000
+    rate_factor: float = 1.0
+    relax_after_s: float = 4.0
+    spend_all_s: float = 8.0
     scarce_share: float = 0.3
     scarce_factor: float = 0.4
 
@@ -93,7 +93,7 @@
         4000
         """
         shared = int(self.burst_share * limit_tokens / max(1, routers))
-        burst = max(self.burst_tokens, min(self.burst_limit_tokens, shared))
+        burst = max(self.burst_tokens, min(self.max_burst_tokens, shared))
         return msgspec.structs.replace(self, burst_tokens=burst)
 
     def tightened(self) -> "PromiseRule":
@@ -102,11 +102,11 @@
             self,
             burst_s=self.burst_s * self.scarce_factor,
             burst_tokens=int(self.burst_tokens * self.scarce_factor),
-            pace=self.pace * self.scarce_factor,
+            rate_factor=self.rate_factor * self.scarce_factor,
         )
 
 
-class SpendPromise(msgspec.Struct, frozen=True, array_like=True):
+class SpendBound(msgspec.Struct, frozen=True, array_like=True):
     """How much of one workspace a router has spent, and how it may go on.
 
     Attributes
@@ -117,28 +117,28 @@
         more was borrowed than spent.
     burst_tokens : int
         May be added at once.
-    pace_tokens_per_s : float
+    rate_tokens_per_s : float
         May be added besides, from the report on.
-    late_s, late_tokens_per_s : float
+    relax_after_s, relaxed_rate_tokens_per_s : float
         So long after the report, so much a second may be added besides.
 
     Examples
     --------
-    >>> promise = SpendPromise(100, 20, 10.0, 4.0, 50.0)
-    >>> promise.bound_tokens(0.0), promise.bound_tokens(2.55), promise.bound_tokens(5.0)
+    >>> promise = SpendBound(100, 20, 10.0, 4.0, 50.0)
+    >>> promise.max_spent_tokens(0.0), promise.max_spent_tokens(2.55), promise.max_spent_tokens(5.0)
     (120, 145, 220)
     """
 
     spent_tokens: int
     burst_tokens: int
-    pace_tokens_per_s: float
-    late_s: float
-    late_tokens_per_s: float
+    rate_tokens_per_s: float
+    relax_after_s: float
+    relaxed_rate_tokens_per_s: float
 
-    def bound_tokens(self, elapsed_s: float) -> int:
+    def max_spent_tokens(self, elapsed_s: float) -> int:
         """Return the most that is spent when some time has passed."""
-        paced = self.pace_tokens_per_s * max(0.0, elapsed_s)
-        paced += self.late_tokens_per_s * max(0.0, elapsed_s - self.late_s)
+        paced = self.rate_tokens_per_s * max(0.0, elapsed_s)
+        paced += self.relaxed_rate_tokens_per_s * max(0.0, elapsed_s - self.relax_after_s)
         return self.spent_tokens + self.burst_tokens + int(paced)
 
 
@@ -154,31 +154,33 @@
 
     number: int
     stamp_s: float
-    promises: dict[str, SpendPromise]
+    spend_bounds: dict[str, SpendBound] = msgspec.field(name="promises")
     era: int | None = None
 
 
-def promise_for(
+def spend_bound_for(
     spent_tokens: int,
     free_tokens: int,
     waiting_tokens: int,
     demand_tokens_per_s: float,
     rule: PromiseRule,
-) -> SpendPromise:
+) -> SpendBound:
     """Return the promise of a router that has spent, holds and is asked for some tokens.
 
     Examples
     --------
-    >>> promise = promise_for(100, 60_000, 0, 5_000.0, PromiseRule())
-    >>> promise.burst_tokens, promise.pace_tokens_per_s, promise.late_tokens_per_s
+    >>> promise = spend_bound_for(100, 60_000, 0, 5_000.0, PromiseRule())
+    >>> promise.burst_tokens, promise.rate_tokens_per_s, promise.relaxed_rate_tokens_per_s
     (5000, 5000.0, 7500.0)
     """
     free_tokens = max(0, free_tokens)
     demanded = int(rule.burst_s * demand_tokens_per_s)
     burst = min(free_tokens, max(rule.burst_tokens, demanded, waiting_tokens))
-    pace = rule.pace * demand_tokens_per_s
-    late_pace = free_tokens / rule.spread_s
-    return SpendPromise(spent_tokens, burst, round(pace, 1), rule.late_s, round(late_pace, 1))
+    rate_factor = rule.rate_factor * demand_tokens_per_s
+    late_pace = free_tokens / rule.spend_all_s
+    return SpendBound(
+        spent_tokens, burst, round(rate_factor, 1), rule.relax_after_s, round(late_pace, 1)
+    )
 
 
 class _SentReport(msgspec.Struct):
@@ -199,7 +201,7 @@
         Holds the reports.
     node, incarnation : str
         This router.
-    make_promises : callable
+    make_bounds : callable
         Returns the promises by workspace as of now.
     on_reported : callable
         Called after each report that is known to stand.
@@ -216,7 +218,7 @@
         store: VersionedStoreBase,
         node: str,
         incarnation: str,
-        make_promises: Callable[[], dict[str, SpendPromise]],
+        make_bounds: Callable[[], dict[str, SpendBound]],
         on_reported: Callable[[], None],
         log,
         enabled: bool = True,
@@ -226,7 +228,7 @@
         self._store = store
         self._node = node
         self._key = RowKey(TABLE, node, incarnation)
-        self._make_promises = make_promises
+        self._make_promises = make_bounds
         self._on_reported = on_reported
         self._log = log
         self._started_s = reactor.seconds()
@@ -238,7 +240,7 @@
         self._sent: list[_SentReport] = []
         self._last_sent_s = -1e9
         #: By ended incarnation and workspace, the most that it spent; None until read.
-        self.ended: dict[str, dict[str, int]] | None = None
+        self.predecessor_bounds: dict[str, dict[str, int]] | None = None
         store.eras.listen(self._note_return)
 
     def _note_return(self, era: int) -> None:
@@ -246,25 +248,25 @@
 
         All that they held then counts as spent.
         """
-        if self.ended is not None:
-            self.ended = dict.fromkeys(self.ended, {})
+        if self.predecessor_bounds is not None:
+            self.predecessor_bounds = dict.fromkeys(self.predecessor_bounds, {})
 
     def allowance_tokens(self, workspace: str, committed_tokens: int) -> int | None:
         """Return how much more may be committed without another report; None: any.
 
-        ``committed_tokens`` counts as ``SpendPromise.spent_tokens`` does.
+        ``committed_tokens`` counts as ``SpendBound.spent_tokens`` does.
         """
         now_s = self._reactor.seconds()
         bounds = [
-            sent.report.promises[workspace].bound_tokens(now_s - sent.sent_s)
+            sent.report.spend_bounds[workspace].max_spent_tokens(now_s - sent.sent_s)
             for sent in self._sent
-            if workspace in sent.report.promises
+            if workspace in sent.report.spend_bounds
         ]
         return min(bounds) - committed_tokens if bounds else None
 
     # Predecessors.
 
-    async def read_ended(self) -> None:
+    async def read_predecessors(self) -> None:
         """Learn what earlier incarnations of this node can have spent at most.
 
         Several callers at once share one read.
@@ -285,28 +287,30 @@
 
     async def _read_ended(self) -> None:
         if not self._enabled:
-            self.ended = {}
+            self.predecessor_bounds = {}
             return
         asked_s = self._reactor.seconds()
         table = await self._store.read_table(TABLE, self._node)
         # The store's clock was not past this when it was asked, so this is not earlier than
         # the start of this process, before which the others had ended.
         now_s = self._store.time_floor_s() - (asked_s - self._started_s)
-        ended = {}
+        predecessor_bounds = {}
         for row in table.rows:
             if row.key.key != self._key.key and not row.gone:
-                ended[row.key.key] = _bounds(row, now_s, self._store.eras.known)
-        self.ended = ended
-        if ended:
+                predecessor_bounds[row.key.key] = _bounds(row, now_s, self._store.eras.known)
+        self.predecessor_bounds = predecessor_bounds
+        if predecessor_bounds:
             self._log.event(
-                "prepaid.predecessors", incarnations=list(ended), store_time_s=round(now_s, 3)
+                "prepaid.predecessors",
+                incarnations=list(predecessor_bounds),
+                store_time_s=round(now_s, 3),
             )
 
-    def forget_ended(self, incarnations: set[str]) -> None:
+    def remove_reports(self, incarnations: set[str]) -> None:
         """Remove the reports of incarnations whose grants are accounted for."""
         keys = tuple(RowKey(TABLE, self._node, name) for name in incarnations)
         for name in incarnations:
-            self.ended.pop(name, None)
+            self.predecessor_bounds.pop(name, None)
         removed = defer.ensureDeferred(
             self._store.transact(VersionedTransaction((), removals=keys))
         )
@@ -346,8 +350,8 @@
             await self._read_back()
         self._number += 1
         self._last_sent_s = self._reactor.seconds()
-        promises, era = self._make_promises(), self._store.eras.known
-        report = SpendReport(self._number, self._store.time_floor_s(), promises, era)
+        spend_bounds, era = self._make_promises(), self._store.eras.known
+        report = SpendReport(self._number, self._store.time_floor_s(), spend_bounds, era)
         sent = _SentReport(report, self._last_sent_s)
         self._sent.append(sent)
         change = RowChange(self._key, msgspec.json.encode(report), self._version)
@@ -394,5 +398,6 @@
         return {}
     elapsed_s = now_s - report.stamp_s
     return {
-        workspace: promise.bound_tokens(elapsed_s) for workspace, promise in report.promises.items()
+        workspace: promise.max_spent_tokens(elapsed_s)
+        for workspace, promise in report.spend_bounds.items()
     }
--- a/turnward/gateway/tests/test_end_reserve.py
+++ b/turnward/gateway/tests/test_end_reserve.py
@@ -7,9 +7,9 @@
 from turnward.gateway.accounts import AccountRow
 from turnward.gateway.end_reserve import EndReserve, EndReserveRule
 from turnward.gateway.tests.rig import ENGINE_POOL, KEY, Rig, stream
-from turnward.gateway.tests.test_prepaid import World, random_schedule
+from turnward.gateway.tests.test_prepaid import PrepaidSimulation, random_schedule
 
-RULE = EndReserveRule(share=0.1, spread_s=40.0)
+RULE = EndReserveRule(share=0.1, release_s=40.0)
 ROW = AccountRow(limit_tokens=10_000, ended_tokens=9_000)
 
 
@@ -19,23 +19,25 @@
     for step in range(int(seconds * 2)):
         now_s = from_s + step / 2
         row = AccountRow(limit_tokens=10_000, ended_tokens=used)
-        if reserve.lets_through(row, tokens, now_s):
+        if reserve.admit_request(row, tokens, now_s):
             used += tokens
             served_s.append(now_s - from_s)
     return served_s
 
 
-def test_reserve_is_not_open_to_all():
+def test_reserve_is_not_available_to_ordinary_requests():
     reserve = EndReserve(RULE, "x")
-    assert reserve.open_tokens(ROW) == 0
-    assert reserve.open_tokens(AccountRow(limit_tokens=10_000)) == 9_000
+    assert reserve.available_tokens(ROW) == 0
+    assert reserve.available_tokens(AccountRow(limit_tokens=10_000)) == 9_000
 
 
-def test_recalled_limit_shows_as_such():
-    assert EndReserve(RULE, "x").open_tokens(AccountRow(limit_tokens=10, ended_tokens=30)) == -20
+def test_available_tokens_are_negative_after_the_limit_was_lowered():
+    assert (
+        EndReserve(RULE, "x").available_tokens(AccountRow(limit_tokens=10, ended_tokens=30)) == -20
+    )
 
 
-def test_reserve_is_handed_out_evenly_over_its_time():
+def test_reserve_is_released_evenly_over_the_release_time():
     served_s = spend(EndReserve(RULE, "x"), 100, 60)
     assert len(served_s) == 10
     assert served_s[-1] >= 30
@@ -47,17 +49,17 @@
     """A bound on the size as part of the reserve let nobody have its 1,800 tokens."""
     reserve = EndReserve(EndReserveRule(share=0.012), "x")
     row = AccountRow(limit_tokens=150_000, ended_tokens=148_200)
-    assert not reserve.lets_through(row, 900, 0.0)
-    assert reserve.lets_through(row, 900, 20.0)
+    assert not reserve.admit_request(row, 900, 0.0)
+    assert reserve.admit_request(row, 900, 20.0)
 
 
-def test_what_a_predecessor_left_lasts_as_long():
+def test_partly_used_reserve_lasts_the_full_release_time():
     served_s = spend(EndReserve(RULE, "x"), 100, 60, used=9_500)
     assert len(served_s) == 5
     assert served_s[-1] >= 28
 
 
-def test_raised_limit_begins_anew():
+def test_raised_limit_restarts_the_release():
     reserve = EndReserve(RULE, "x")
     assert len(spend(reserve, 100, 60)) == 10
     again_s = spend(reserve, 100, 60, used=9_000, from_s=260.0)
@@ -66,7 +68,7 @@
 
 
 @pytest.mark.parametrize("name", ["a", "b", "c", "d"])
-def test_first_requests_are_spread(name):
+def test_first_requests_are_staggered(name):
     first_s = spend(EndReserve(RULE, name), 200, 60)[0]
     assert 0 <= first_s <= 8
 
@@ -76,15 +78,15 @@
     assert not spend(EndReserve(RULE, "x"), tokens, 120)
 
 
-def test_nothing_is_kept_without_a_share():
+def test_nothing_is_reserved_without_a_share():
     reserve = EndReserve(EndReserveRule(), "x")
-    assert reserve.open_tokens(ROW) == 1_000
+    assert reserve.available_tokens(ROW) == 1_000
     assert not spend(reserve, 1, 60)
 
 
 @pytest.mark.parametrize("seed", range(120))
 def test_random_schedules_with_a_reserve_keep_the_limit(seed):
-    world = World(end_rule=EndReserveRule(share=0.3, spread_s=3.0))
+    world = PrepaidSimulation(end_reserve_rule=EndReserveRule(share=0.3, release_s=3.0))
     for action in random_schedule(seed):
         # Each step checks what is spent against the limit.
         world.step(action)
@@ -115,6 +117,6 @@
     return served
 
 
-def test_workspace_that_is_used_up_still_has_a_few_small_requests_served():
+def test_exhausted_workspace_still_serves_a_few_small_requests():
     assert ask_until_dry(0.0) == 0
     assert ask_until_dry(0.1) >= 3
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -14,15 +14,15 @@
 from turnward.gateway.holder_client import HandBack, HolderClient
 from turnward.gateway.holders import EveryRouterHolds
 from turnward.gateway.loans import LOANS_PATH, LoanAsk, LoanReturn
-from turnward.gateway.prepaid import BudgetAnswer, PrepaidAccounts
+from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.tests.test_prepaid import (
     ACTIONS,
     LIMIT,
-    MORE_ACTIONS,
-    World,
+    RANDOM_ACTIONS,
+    PrepaidSimulation,
     is_caught,
-    play,
     random_schedule,
+    run_schedule,
 )
 from turnward.http1 import NotSentError, UnansweredError
 from turnward.ledger import Reservation
@@ -67,14 +67,14 @@
     def arrive(self, path, body, answered):
         holder = self.world.routers[1 - self.index]
         if path == LOANS_PATH:
-            lending = holder.lend_to_request(msgspec.msgpack.decode(body, type=LoanAsk))
+            lending = holder.lend_for_request(msgspec.msgpack.decode(body, type=LoanAsk))
             lending.addCallback(lambda loan: answered.callback(msgspec.msgpack.encode(loan)))
         else:
-            holder.take_back(msgspec.msgpack.decode(body, type=LoanReturn))
+            holder.accept_return(msgspec.msgpack.decode(body, type=LoanReturn))
             answered.callback(b"")
 
 
-class HolderWorld(World):
+class HolderWorld(PrepaidSimulation):
     """Router 0 holds tokens; router 1 asks it for each request."""
 
     client_type = HolderClient
@@ -120,8 +120,8 @@
 class LendsWithoutCounting(PrepaidAccounts):
     """Broken: lets a request have tokens that stay free at the holder."""
 
-    def _loan_of(self, ask, answer):
-        loan = super()._loan_of(ask, answer)
+    def _loan_from(self, ask, answer):
+        loan = super()._loan_from(ask, answer)
         if loan.tokens:
             self.ledger.unsettle(ask.workspace, loan.tokens)
         return loan
@@ -130,7 +130,7 @@
 class HandsBackWhatItKeeps(PrepaidAccounts):
     """Broken: tokens that are handed back stay free at the sender."""
 
-    async def _send_back(self, workspace):
+    async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
         if tokens:
             await self.holder_client.hand_back(workspace, tokens)
@@ -139,7 +139,7 @@
 class TakesLostTokensBack(PrepaidAccounts):
     """Broken: takes a message whose answer is lost for one that was not read."""
 
-    async def _send_back(self, workspace):
+    async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
         reservation = self._try_reserve(workspace, tokens, first_try=False) if tokens else None
         if reservation is None:
@@ -152,9 +152,9 @@
 class LendsToWhoeverHasGone(PrepaidAccounts):
     """Broken: lends what it has neither granted nor reported."""
 
-    def _reserve_here(self, workspace, tokens, priority):
+    def _reserve_locally(self, workspace, tokens, priority):
         self.ledger.add(workspace, tokens)
-        return super()._reserve_here(workspace, tokens, priority)
+        return super()._reserve_locally(workspace, tokens, priority)
 
 
 class HandsBackTwice(HolderClient):
@@ -170,13 +170,13 @@
 class CountsReturnsAsOwn(PrepaidAccounts):
     """Broken: its reports leave out what came back, so that it seems unspent to a successor."""
 
-    def take_back(self, returned):
-        super().take_back(returned)
+    def accept_return(self, returned):
+        super().accept_return(returned)
         self._account(returned.workspace).borrowed_tokens += returned.tokens
 
 
 SCHEDULE_ACTIONS = [
-    *MORE_ACTIONS,
+    *RANDOM_ACTIONS,
     *CALLS,
     *CALLS,
     ("call", "done"),
@@ -186,15 +186,15 @@
 
 
 def play_seed(seed, accounts_type=PrepaidAccounts, client_type=HolderClient):
-    world_type = type("World", (HolderWorld,), {"client_type": client_type})
-    return play(random_schedule(seed, SCHEDULE_ACTIONS), accounts_type, world_type)
+    simulation_type = type("World", (HolderWorld,), {"client_type": client_type})
+    return run_schedule(random_schedule(seed, SCHEDULE_ACTIONS), accounts_type, simulation_type)
 
 
 def test_every_short_schedule_keeps_the_limit():
     actions = [*(action for action in ACTIONS if action[0] != "loan"), *CALLS]
     prefix = [("calm", 0, 0.5), ("spend", 0, 6), ("spend", 1, 6)]
     for schedule in itertools.product(actions, repeat=3):
-        play(prefix + list(schedule), world_type=HolderWorld)
+        run_schedule(prefix + list(schedule), simulation_type=HolderWorld)
 
 
 def test_random_schedules_keep_the_limit():
@@ -241,4 +241,4 @@
     while world.calls[1].pending:
         world.calls[1].decide("done")
     world.calm(0.5)
-    assert answers == [BudgetAnswer.EXHAUSTED]
+    assert answers == [BudgetRefusal.EXHAUSTED]
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -142,7 +142,7 @@
         not in decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
     )
     used = 5 * (8_000 + 4 * 5)
-    own = [gateway.accounts._own_committed("acme") for gateway in rig.gateways]
+    own = [gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways]
     borrowed = sum(gateway.accounts._account("acme").borrowed_tokens for gateway in rig.gateways)
     assert sum(gateway.accounts.ledger.committed_tokens("acme") for gateway in rig.gateways) == (
         used + borrowed
@@ -227,7 +227,7 @@
     caller = rig.send(other, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
     caller.transport.abortConnection()
     rig.network.advance(3.0)
-    own = sum(gateway.accounts._own_committed("acme") for gateway in rig.gateways)
+    own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways)
     assert own <= 8_000 + 20
 
 
@@ -237,7 +237,7 @@
     accounts = rig.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
     # More than is held, so that it has to wait for the store.
-    lending = accounts.lend_to_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
+    lending = accounts.lend_for_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
     lending.addErrback(lambda failure: None)
     lending.cancel()
     rig.network.advance(1.0)
@@ -260,9 +260,9 @@
 def test_tokens_handed_back_are_counted_once():
     rig = large_rig()
     accounts = rig.gateways[holds(rig).index(True)].accounts
-    before = accounts._own_committed("acme"), accounts.ledger.free_tokens("acme")
-    accounts.take_back(LoanReturn("acme", 500))
-    after = accounts._own_committed("acme"), accounts.ledger.free_tokens("acme")
+    before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
+    accounts.accept_return(LoanReturn("acme", 500))
+    after = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
     assert after == (before[0] - 500, before[1] + 500)
 
 
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -16,12 +16,12 @@
     AccountRow,
     change_grant,
     decode_account,
-    fold_ended,
+    fold_predecessors,
     ungranted_tokens,
 )
 from turnward.gateway.configuration import Repeat, Workspace
 from turnward.gateway.loans import LenderBase, LoanRule, Spare
-from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetAnswer, PrepaidAccounts
+from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import PromiseRule, SpendReports
 from turnward.gateway.tests.rig import KEY, ListLog, Rig, stream
 from turnward.gateway.tests.test_forwarding import ENGINE_POOL, reason
@@ -47,9 +47,11 @@
 )
 LOANS = LoanRule(least_offer_tokens=1)
 LIMIT = 60
-PROMISES = PromiseRule(burst_s=0.2, burst_tokens=2, pace=0.5, late_s=2.0, spread_s=10.0)
+PROMISES = PromiseRule(
+    burst_s=0.2, burst_tokens=2, rate_factor=0.5, relax_after_s=2.0, spend_all_s=10.0
+)
 #: Seconds after which promises let all that is held be spent.
-ALL_S = PROMISES.late_s + PROMISES.spread_s
+ALL_S = PROMISES.relax_after_s + PROMISES.spend_all_s
 KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
 
 
@@ -160,16 +162,16 @@
         decided.callback(tokens if outcome == "done" else 0)
 
 
-class World:
+class PrepaidSimulation:
     """Two routers that spend one workspace's tokens."""
 
     store_type = SteppedStore
 
-    def __init__(self, accounts_type=PrepaidAccounts, limit=LIMIT, end_rule=None):
+    def __init__(self, accounts_type=PrepaidAccounts, limit=LIMIT, end_reserve_rule=None):
         self.clock = task.Clock()
         self.rows = MemoryRows(self.clock)
         self.accounts_type = accounts_type
-        self.end_rule = end_rule
+        self.end_reserve_rule = end_reserve_rule
         self.limit = limit
         self.version = 1
         self.spent = 0
@@ -201,7 +203,7 @@
             lambda: 2,
             PROMISES,
             LOANS,
-            self.end_rule,
+            self.end_reserve_rule,
         )
         if old is not None:
             # Loans that the dead one had asked for may still be given, to nobody.
@@ -280,7 +282,7 @@
     ("loan", 1, "done"),
 ]
 #: Random schedules draw from these besides.
-MORE_ACTIONS = [
+RANDOM_ACTIONS = [
     *ACTIONS,
     ("spend", 0, 13),
     ("spend", 1, 1),
@@ -365,9 +367,9 @@
     """Broken: takes a dead router's last report for all that it spent."""
 
     def _fold(self, workspace, row):
-        self._reports.ended = {
+        self._reports.predecessor_bounds = {
             name: {workspace: max(0, tokens - 9) for workspace, tokens in bounds.items()}
-            for name, bounds in self._reports.ended.items()
+            for name, bounds in self._reports.predecessor_bounds.items()
         }
         return super()._fold(workspace, row)
 
@@ -397,20 +399,20 @@
 class CountsLoansTwice(PrepaidAccounts):
     """Broken: its reports take borrowed tokens off twice."""
 
-    def _own_committed(self, workspace):
+    def _own_committed_tokens(self, workspace):
         account = self._accounts.get(workspace)
         borrowed = account.borrowed_tokens if account is not None else 0
         return self.ledger.committed_tokens(workspace) - 2 * borrowed
 
 
-def play(schedule, accounts_type=PrepaidAccounts, world_type=World):
-    world = world_type(accounts_type)
+def run_schedule(schedule, accounts_type=PrepaidAccounts, simulation_type=PrepaidSimulation):
+    world = simulation_type(accounts_type)
     for action in schedule:
         world.step(action)
     return world
 
 
-def random_schedule(seed, actions=MORE_ACTIONS, length=90):
+def random_schedule(seed, actions=RANDOM_ACTIONS, length=90):
     draw = random.Random(seed)
     return [draw.choice(actions) for _ in range(length)]
 
@@ -432,13 +434,13 @@
     # Both routers hold a grant first, so that five steps reach the interesting part.
     prefix = [("decide", 0, "done")] * 2 + [("spend", 0, 6), ("decide", 0, "done")]
     for schedule in itertools.product(ACTIONS, repeat=4):
-        play(prefix + list(schedule))
+        run_schedule(prefix + list(schedule))
 
 
 def test_random_schedules_keep_the_limit():
     spent = 0
     for seed in range(400):
-        spent += play(random_schedule(seed)).spent
+        spent += run_schedule(random_schedule(seed)).spent
     assert spent > 400 * LIMIT / 8
 
 
@@ -456,11 +458,11 @@
     ],
 )
 def test_random_schedules_catch_a_broken_account(broken):
-    assert is_caught(lambda seed: play(random_schedule(seed), broken), seeds=3_000)
+    assert is_caught(lambda seed: run_schedule(random_schedule(seed), broken), seeds=3_000)
 
 
 def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 30)
     calm(world)
     world.spend(0, 2)
@@ -476,7 +478,7 @@
 
 def folded_after(away_s):
     """Return what a successor folds that the store turns away at first."""
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 30)
     calm(world)
     world.start(0)
@@ -494,8 +496,8 @@
     assert late["spent"] <= at_once["spent"] + 1
 
 
-def test_promise_lets_a_router_that_is_cut_off_spend_all_it_holds_in_time():
-    world = World()
+def test_spend_bound_lets_a_disconnected_router_spend_all_its_tokens_in_time():
+    world = PrepaidSimulation()
     world.spend(0, 20)
     calm(world)
     held = world.routers[0].ledger.free_tokens("acme")
@@ -512,7 +514,7 @@
 
 def lone_account(limit, routers=6):
     """Return the accounts of one router under the product's own rules, and its world."""
-    world = World(limit=limit)
+    world = PrepaidSimulation(limit=limit)
     world.routers[1] = None
     accounts = PrepaidAccounts(
         world.clock,
@@ -536,7 +538,7 @@
         world.routers[0].look()
 
 
-def test_request_much_larger_than_the_demand_is_let_through_when_the_store_is_lost():
+def test_request_much_larger_than_the_demand_is_served_when_the_store_is_unreachable():
     world, accounts = lone_account(limit=1_000_000)
     settle_down(world, 1.0)
     small = accounts.reserve("acme", 500)
@@ -570,7 +572,7 @@
 
 
 @pytest.mark.parametrize(("routers", "most"), [(6, 12), (87, 2)])
-def test_the_more_routers_hold_tokens_the_less_often_each_looks_at_rows(routers, most):
+def test_row_reads_per_router_decrease_with_the_number_of_holders(routers, most):
     world, accounts = lone_account(limit=100_000, routers=routers)
     workspaces = {f"w-{n}": Workspace(name=f"w-{n}", prepaid_tokens=100_000) for n in range(24)}
     accounts.set_limits(workspaces, 1)
@@ -587,7 +589,7 @@
 
 
 def test_raised_limit_is_used_and_lowered_limit_is_recalled():
-    world = World()
+    world = PrepaidSimulation()
     calm(world)
     world.spend(0, 50)
     calm(world)
@@ -604,11 +606,11 @@
     calm(world)
     assert ungranted(world) >= 0
     answer = world.routers[0].reserve("acme", 5)
-    assert answer is BudgetAnswer.EXHAUSTED
+    assert answer is BudgetRefusal.EXHAUSTED
 
 
 def test_older_limit_never_replaces_a_newer_one():
-    world = World()
+    world = PrepaidSimulation()
     world.limit, world.version = 10, 5
     world.set_limit(0)
     world.spend(0, 2)
@@ -620,7 +622,7 @@
 
 
 def test_stopping_router_gives_all_back():
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 6)
     calm(world)
     world.routers[0].stop()
@@ -632,23 +634,23 @@
 
 def test_earlier_incarnations_are_folded():
     account = AccountRow(100, 1, 5, {"a@1": 10, "a@2": 3, "ab@1": 7})
-    folded = fold_ended(account, "a", "a@2", {})
+    folded = fold_predecessors(account, "a", "a@2", {})
     assert folded == AccountRow(100, 1, 15, {"a@2": 3, "ab@1": 7})
     assert ungranted_tokens(folded) == ungranted_tokens(account)
-    known = fold_ended(account, "a", "a@2", {"a@1": 4})
+    known = fold_predecessors(account, "a", "a@2", {"a@1": 4})
     assert known == AccountRow(100, 1, 9, {"a@2": 3, "ab@1": 7})
 
 
 def test_refusal_is_at_once_while_the_store_is_not_reached():
-    world = World()
+    world = PrepaidSimulation()
     for store in world.stores:
         while store.decide("refused"):
             pass
-    assert world.routers[0].reserve("acme", 6) is BudgetAnswer.UNREACHABLE
+    assert world.routers[0].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
 def test_urgent_requests_go_first_while_the_store_is_not_reached():
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 20)
     calm(world)
     router = world.routers[0]
@@ -659,28 +661,28 @@
         pass
     # What a peer can lend serves urgent requests as well; here none can.
     world.routers[1].spare = list
-    assert router.reserve("acme", held - 2, priority=2) is BudgetAnswer.UNREACHABLE
+    assert router.reserve("acme", held - 2, priority=2) is BudgetRefusal.UNREACHABLE
     assert isinstance(router.reserve("acme", held - 2, priority=0), Reservation)
 
 
 def test_waiting_requests_are_refused_when_contact_is_lost():
-    world = World()
+    world = PrepaidSimulation()
     answer = world.routers[0].reserve("acme", 5)
     refused = []
     answer.addCallback(refused.append)
     assert refused == []
     while world.stores[0].decide("refused"):
         pass
-    assert refused == [BudgetAnswer.UNREACHABLE]
+    assert refused == [BudgetRefusal.UNREACHABLE]
 
 
 def test_only_the_first_request_waits_for_a_store_that_is_silent():
-    world = World()
+    world = PrepaidSimulation()
     answers = []
     world.routers[0].reserve("acme", 5).addCallback(answers.append)
     world.clock.advance(0.5)
-    assert answers == [BudgetAnswer.UNREACHABLE]
-    assert world.routers[0].reserve("acme", 5) is BudgetAnswer.UNREACHABLE
+    assert answers == [BudgetRefusal.UNREACHABLE]
+    assert world.routers[0].reserve("acme", 5) is BudgetRefusal.UNREACHABLE
     calm(world)
     assert isinstance(world.routers[0].reserve_now("acme", 1), Reservation | None)
     world.spend(0, 5)
@@ -689,7 +691,7 @@
 
 
 def test_router_that_is_cut_off_borrows_what_a_peer_holds():
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 20)
     calm(world)
     world.clock.advance(ALL_S)
@@ -704,7 +706,7 @@
 
 
 def test_request_is_refused_at_once_when_no_peer_can_lend():
-    world = World()
+    world = PrepaidSimulation()
     world.spend(0, 20)
     calm(world)
     world.clock.advance(ALL_S)
@@ -712,13 +714,13 @@
     answers = []
     world.routers[1].reserve("acme", 6).addCallback(answers.append)
     world.lenders[1].decide("refused")
-    assert answers == [BudgetAnswer.UNREACHABLE]
+    assert answers == [BudgetRefusal.UNREACHABLE]
     world.routers[0].spare = list
-    assert world.routers[1].reserve("acme", 6) is BudgetAnswer.UNREACHABLE
+    assert world.routers[1].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
-def test_last_tokens_of_a_workspace_are_found_wherever_they_lie():
-    world = World()
+def test_last_tokens_of_a_workspace_are_borrowed_from_the_peer_that_holds_them():
+    world = PrepaidSimulation()
     world.spend(0, 30)
     calm(world)
     free = [router.ledger.free_tokens("acme") for router in world.routers]
@@ -774,7 +776,7 @@
     assert {(caller.status, reason(caller)) for caller in refused} == {(402, "budget_exhausted")}
 
 
-def test_repeat_after_a_run_sets_aside_what_another_run_may_make():
+def test_retry_after_a_run_reserves_the_output_of_another_run():
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=100_000)
     rig = Rig(
         pools=(ENGINE_POOL,),
--- a/turnward/gateway/tests/test_return_schedules.py
+++ b/turnward/gateway/tests/test_return_schedules.py
@@ -14,9 +14,9 @@
 from turnward.gateway.restoring import AccountRestorer
 from turnward.gateway.tests.test_prepaid import (
     ACTIONS,
-    MORE_ACTIONS,
+    RANDOM_ACTIONS,
+    PrepaidSimulation,
     SteppedStore,
-    World,
     random_schedule,
 )
 from turnward.rows import (
@@ -99,7 +99,7 @@
         return msgspec.structs.replace(row, version=self._eras.version(row.version))
 
 
-class ReturningWorld(World):
+class ReturningWorld(PrepaidSimulation):
     """Two routers before a store that can go back."""
 
     store_type = ReturningStore
@@ -139,7 +139,14 @@
 
 
 RETURNS = [("copy", 0), ("back", 0)]
-MORE_RETURNS = [*MORE_ACTIONS, *RETURNS, *RETURNS, ("back", 1), ("calm", 0, 1.5), ("calm", 0, 1.5)]
+MORE_RETURNS = [
+    *RANDOM_ACTIONS,
+    *RETURNS,
+    *RETURNS,
+    ("back", 1),
+    ("calm", 0, 1.5),
+    ("calm", 0, 1.5),
+]
 CALM = ("calm", 0, 1.5)
 #: What routers hold and have told before the schedule begins.
 BEGUN = (CALM, ("copy", 0), ("spend", 0, 13), CALM, ("spend", 1, 6), CALM)
--- a/turnward/gateway/workspace_account.py
+++ b/turnward/gateway/workspace_account.py
@@ -50,7 +50,7 @@
     busy, borrowing, handing_back : bool
         Whether the row is being worked on, a loan is asked for, or tokens are on their
         way to a holder.
-    free_in_contact : int
+    free_at_last_contact : int
         Tokens that were free when the store was last reached.
     borrowed_tokens : int
         All that peers ever lent here; spent without a grant of the own.
@@ -68,7 +68,7 @@
         "busy",
         "end_reserve",
         "era",
-        "free_in_contact",
+        "free_at_last_contact",
         "handing_back",
         "limit",
         "row",
@@ -89,7 +89,7 @@
         self.era = -1
         self.limit = (0, 0)
         self.busy = False
-        self.free_in_contact = 0
+        self.free_at_last_contact = 0
         self.borrowed_tokens = 0
         self.borrowing = False
         self.handing_back = False
@@ -103,6 +103,6 @@
         return sum(waiter.tokens for waiter in self.waiters)
 
     @property
-    def draws_on_reserve(self) -> bool:
+    def all_from_reserve(self) -> bool:
         """Whether all that wait are served out of what is kept for the end."""
         return bool(self.waiters) and all(waiter.from_reserve for waiter in self.waiters)
