--- a/tools/bench.py
+++ b/tools/bench.py
@@ -250,8 +250,8 @@
         ledger.settle(reservation, 0)
 
     def plan():
-        ledger.plan_takes(1.0)
-        ledger.plan_views(1.0)
+        ledger.plan_grants(1.0)
+        ledger.plan_refreshes(1.0)
         ledger.plan_returns(1.0)
 
     return _median_us(reserve, DECISIONS), _median_us(plan, 1) / 1_000
--- a/turnward/budgets/__init__.py
+++ b/turnward/budgets/__init__.py
@@ -14,8 +14,8 @@
 )
 from turnward.ledger import (
     BudgetView,
-    GrantAsk,
     GrantLedger,
+    GrantRequest,
     RefusalReason,
     Reservation,
     SizingRule,
@@ -28,7 +28,7 @@
     "BillWriter",
     "BudgetRow",
     "BudgetView",
-    "GrantAsk",
+    "GrantRequest",
     "GrantChange",
     "GrantLedger",
     "GrantRow",
--- a/turnward/budgets/grants.py
+++ b/turnward/budgets/grants.py
@@ -14,7 +14,7 @@
 from turnward.budgets.rows import BudgetRow, GrantRow, budget_key, grant_key
 from turnward.fleet import FencedError, live_check, router_key
 from turnward.ids import new_id
-from turnward.ledger import BudgetView, GrantAsk
+from turnward.ledger import BudgetView, GrantRequest
 from turnward.store import (
     Absent,
     Add,
@@ -105,7 +105,7 @@
                 )
         return views
 
-    def plan_take(self, asks: dict[str, GrantAsk], views: dict[str, BudgetView]):
+    def plan_take(self, asks: dict[str, GrantRequest], views: dict[str, BudgetView]):
         """Return the changes that the asks and the rows allow."""
         changes = []
         for budget, ask in asks.items():
@@ -113,8 +113,8 @@
                 continue
             ungranted = views[budget].ungranted_tokens
             shared = int(ungranted * self._share)
-            tokens = min(ask.most_tokens, max(ask.least_tokens, shared))
-            if ask.least_tokens <= ungranted and tokens > 0:
+            tokens = min(ask.desired_tokens, max(ask.required_tokens, shared))
+            if ask.required_tokens <= ungranted and tokens > 0:
                 changes.append(self._change(budget, tokens))
             elif self._unfolded_tokens[budget]:
                 changes.append(self._change(budget, 0))
--- a/turnward/budgets/tests/test_grants.py
+++ b/turnward/budgets/tests/test_grants.py
@@ -4,7 +4,7 @@
 import pytest
 
 from tests.helpers import add_budget, add_router, run
-from turnward.budgets import GrantAsk, GrantStore, budget_key, grant_key
+from turnward.budgets import GrantRequest, GrantStore, budget_key, grant_key
 from turnward.fleet import FencedError, RouterRegistry
 from turnward.store import FaultyTable, MemoryTable, PlatformUnavailableError
 
@@ -20,7 +20,7 @@
 
 def take(store, tokens):
     views = run(store.read_views(["b"]))
-    return run(store.apply(store.plan_take({"b": GrantAsk(tokens, tokens)}, views)))
+    return run(store.apply(store.plan_take({"b": GrantRequest(tokens, tokens)}, views)))
 
 
 def ungranted(table):
@@ -38,7 +38,7 @@
     first, second = GrantStore(table, "r1"), GrantStore(table, "r2")
     stale = run(second.read_views(["b"]))
     assert take(first, 900) == {"b": 900}
-    assert run(second.apply(second.plan_take({"b": GrantAsk(900, 900)}, stale))) == {}
+    assert run(second.apply(second.plan_take({"b": GrantRequest(900, 900)}, stale))) == {}
 
 
 @pytest.mark.parametrize("lost", [1, 2])
@@ -58,7 +58,7 @@
     store = GrantStore(faulty, "r1")
     take(store, 100)
     views = run(store.read_views(["b"]))
-    changes = store.plan_take({"b": GrantAsk(200, 200)}, views)
+    changes = store.plan_take({"b": GrantRequest(200, 200)}, views)
     late_write = store._transaction(changes)
     store._unresolved["b"] = changes[0]
     assert run(store.resolve()) == {"b": 0}
--- a/turnward/gateway/account_news.py
+++ b/turnward/gateway/account_updates.py
@@ -13,7 +13,7 @@
 
 from turnward.rows import RowVersion, StoreEras
 
-__all__ = ["AccountNews", "TakenTokens", "ToldAccount"]
+__all__ = ["AccountUpdates", "TakenTokens", "AccountUpdate"]
 
 #: Seconds for which a write is told: several rounds of messages, some of which may be lost.
 _NEWS_S = 1.0
@@ -26,7 +26,7 @@
 _ERAS_LIMIT = 3
 
 
-class ToldAccount(msgspec.Struct, frozen=True, array_like=True):
+class AccountUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What a row said of a workspace's tokens.
 
     Attributes
@@ -62,7 +62,7 @@
         return self.by_era[max(self.by_era)]
 
 
-class AccountNews:
+class AccountUpdates:
     """The latest known rows of all workspaces, and what others are told of them.
 
     Parameters
@@ -76,9 +76,9 @@
     --------
     >>> eras = StoreEras()
     >>> eras.note_answer(1)
-    >>> news = AccountNews(lambda: 0.0, eras)
-    >>> news.note_written("acme", RowVersion.of(1, 7), 500)
-    >>> news.take_in([ToldAccount("acme", 1, 6, 900)])
+    >>> news = AccountUpdates(lambda: 0.0, eras)
+    >>> news.record_written("acme", RowVersion.of(1, 7), 500)
+    >>> news.take_in([AccountUpdate("acme", 1, 6, 900)])
     >>> news.latest("acme").tokens, len(news.told())
     (500, 1)
     """
@@ -106,27 +106,27 @@
         """The workspaces of which something is known."""
         return list(self._known)
 
-    def note_seen(self, workspace: str, version: int, tokens: int) -> None:
+    def record_read(self, workspace: str, version: int, tokens: int) -> None:
         """Take in a row as it was read."""
         self._learn(workspace, TakenTokens(RowVersion(version), tokens))
 
-    def note_written(self, workspace: str, version: int, tokens: int) -> None:
+    def record_written(self, workspace: str, version: int, tokens: int) -> None:
         """Take in a row that this router has written."""
-        self.note_seen(workspace, version, tokens)
+        self.record_read(workspace, version, tokens)
         self._known[workspace].written_s = self._clock()
 
-    def tell_all(self) -> None:
+    def announce_all(self) -> None:
         """Tell all that is known for a while: the store came back, or a router has started."""
         self._retold_until_s = self._clock() + _RETOLD_S
 
-    def take_in(self, told: Iterable[ToldAccount]) -> None:
+    def take_in(self, told: Iterable[AccountUpdate]) -> None:
         """Take in what another router tells."""
         for one in told:
             self._heard = True
             version = RowVersion.of(one.era, one.number)
             self._learn(one.workspace, TakenTokens(version, one.taken_tokens))
 
-    def told(self) -> tuple[ToldAccount, ...]:
+    def told(self) -> tuple[AccountUpdate, ...]:
         """Return what others are told, the latest first."""
         if self._eras.known is None and not self._heard:
             return ()
@@ -139,7 +139,7 @@
             # After a return the era before counts as well.
             for era in sorted(known.by_era)[-2:] if retold else (max(known.by_era),):
                 taken = known.by_era[era]
-                told.append(ToldAccount(workspace, era, taken.version.number, taken.tokens))
+                told.append(AccountUpdate(workspace, era, taken.version.number, taken.tokens))
         return tuple(told[:_TOLD_LIMIT])
 
     def _learn(self, workspace: str, taken: TakenTokens) -> None:
--- a/turnward/gateway/accounts.py
+++ b/turnward/gateway/accounts.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from turnward.gateway.account_news import TakenTokens
+from turnward.gateway.account_updates import TakenTokens
 from turnward.rows import RowVersion, StoredRow
 
 __all__ = [
--- a/turnward/gateway/borrowing.py
+++ b/turnward/gateway/borrowing.py
@@ -59,7 +59,7 @@
         """Ask one peer after the other until waiting requests have what they need."""
         account.borrowing = True
         try:
-            for address, _ in self.lenders.spare(account.workspace)[: self._rule.lenders_asked]:
+            for address, _ in self.lenders.spare(account.workspace)[: self._rule.max_lenders]:
                 ask = self._ask(account)
                 if ask is None:
                     return
@@ -72,7 +72,7 @@
         if least <= 0:
             return None
         demand = self._ledger.demand_tokens_per_s(account.workspace, self._reactor.seconds())
-        return LoanAsk(account.workspace, least, least + int(demand * self._rule.ahead_s))
+        return LoanAsk(account.workspace, least, least + int(demand * self._rule.lookahead_s))
 
     def _take_in(self, account: WorkspaceAccount, address: str, ask: LoanAsk, tokens: int) -> None:
         if tokens <= 0:
@@ -84,7 +84,7 @@
             workspace=account.workspace,
             lender=address,
             tokens=tokens,
-            wanted=ask.least_tokens,
+            wanted=ask.required_tokens,
             free=self._ledger.free_tokens(account.workspace),
         )
         self._on_loan(account)
--- a/turnward/gateway/holder_client.py
+++ b/turnward/gateway/holder_client.py
@@ -15,7 +15,7 @@
 from turnward.gateway.loans import LOANS_PATH, RETURNS_PATH, Loan, LoanAsk, LoanReturn
 from turnward.http1 import Http1Error, NotSentError
 
-__all__ = ["HandBack", "HolderClient"]
+__all__ = ["ReturnOutcome", "HolderClient"]
 
 #: Holders asked for one request at most; each that is silent costs the answer limit.
 _HOLDERS_ASKED = 3
@@ -26,7 +26,7 @@
 _RETURN_LIMIT_S = 0.25
 
 
-class HandBack(StrEnum):
+class ReturnOutcome(StrEnum):
     """What became of tokens that were handed back."""
 
     TAKEN = "taken"
@@ -61,7 +61,7 @@
     async def borrow(self, ask: LoanAsk) -> Loan:
         """Return the first loan that a holder gives, or that the tokens are exhausted."""
         body = msgspec.msgpack.encode(ask)
-        for address in self._holders.others(ask.workspace)[:_HOLDERS_ASKED]:
+        for address in self._holders.other_holders(ask.workspace)[:_HOLDERS_ASKED]:
             loan = await self._ask(address, ask.workspace, body)
             if loan is None:
                 continue
@@ -71,7 +71,7 @@
                     workspace=ask.workspace,
                     lender=address,
                     tokens=loan.tokens,
-                    wanted=ask.least_tokens,
+                    wanted=ask.required_tokens,
                 )
             if loan.tokens > 0 or loan.exhausted:
                 return loan
@@ -86,13 +86,13 @@
             return None
 
     def _note_silent(self, address: str, workspace: str, failure: Exception) -> None:
-        self._holders.note_silent(address)
+        self._holders.mark_unresponsive(address)
         self._log.failure("holder.silent", holder=address, workspace=workspace, cause=str(failure))
 
-    async def hand_back(self, workspace: str, tokens: int) -> HandBack:
+    async def return_tokens(self, workspace: str, tokens: int) -> ReturnOutcome:
         """Send tokens that the caller counts as spent to a holder."""
         body = msgspec.msgpack.encode(LoanReturn(workspace, tokens))
-        for address in self._holders.others(workspace)[:_HOLDERS_ASKED]:
+        for address in self._holders.other_holders(workspace)[:_HOLDERS_ASKED]:
             try:
                 answer = await self._call(address, RETURNS_PATH, body, _RETURN_LIMIT_S)
             except NotSentError as failure:
@@ -100,6 +100,6 @@
                 continue
             except Http1Error as failure:
                 self._note_silent(address, workspace, failure)
-                return HandBack.LOST
-            return HandBack.TAKEN if answer is not None else HandBack.LOST
-        return HandBack.NOT_SENT
+                return ReturnOutcome.LOST
+            return ReturnOutcome.TAKEN if answer is not None else ReturnOutcome.LOST
+        return ReturnOutcome.NOT_SENT
--- a/turnward/gateway/holders.py
+++ b/turnward/gateway/holders.py
@@ -14,11 +14,11 @@
 from turnward.gateway.peer_book import PeerBook
 from turnward.hashing import rendezvous_weight
 
-__all__ = ["HOLDERS", "EveryRouterHolds", "HoldersBase", "RankedHolders"]
+__all__ = ["HOLDERS_PER_WORKSPACE", "EveryRouterHolds", "HoldersBase", "RendezvousHolders"]
 
 #: Routers that hold one workspace's tokens: each strands a burst with a loss of power, and
 #: with two a workspace outlives one of them while the store is away; measured in decision 18.
-HOLDERS = 2
+HOLDERS_PER_WORKSPACE = 2
 #: Seconds without a new member after which tokens are taken or handed over by the ranking.
 _SETTLED_S = 0.3
 #: Seconds for which a holder that did not answer is not asked again.
@@ -35,7 +35,7 @@
 
     @property
     @abstractmethod
-    def everyone(self) -> bool:
+    def all_routers_hold(self) -> bool:
         """Whether each router holds tokens of every workspace."""
 
     @property
@@ -48,11 +48,11 @@
         """Tell whether this router holds tokens of a workspace, by what is known now."""
 
     @abstractmethod
-    def others(self, workspace: str) -> list[str]:
+    def other_holders(self, workspace: str) -> list[str]:
         """Return the addresses of the other holders that may answer, as they are to be asked."""
 
     @abstractmethod
-    def note_silent(self, address: str) -> None:
+    def mark_unresponsive(self, address: str) -> None:
         """Note that a holder did not answer."""
 
 
@@ -74,7 +74,7 @@
         return max(1, self._routers())
 
     @property
-    def everyone(self) -> bool:
+    def all_routers_hold(self) -> bool:
         """See ``HoldersBase.everyone``."""
         return True
 
@@ -87,15 +87,15 @@
         """See ``HoldersBase.holds``."""
         return True
 
-    def others(self, workspace: str) -> list[str]:
+    def other_holders(self, workspace: str) -> list[str]:
         """See ``HoldersBase.others``."""
         return []
 
-    def note_silent(self, address: str) -> None:
-        """See ``HoldersBase.note_silent``."""
+    def mark_unresponsive(self, address: str) -> None:
+        """See ``HoldersBase.mark_unresponsive``."""
 
 
-class RankedHolders(HoldersBase):
+class RendezvousHolders(HoldersBase):
     """The holders by rendezvous hashing over the members.
 
     Members that died are still ranked: who holds what changes only when members are
@@ -111,7 +111,9 @@
         How many routers hold one workspace's tokens.
     """
 
-    def __init__(self, book: PeerBook, clock: Callable[[], float], limit: int = HOLDERS):
+    def __init__(
+        self, book: PeerBook, clock: Callable[[], float], limit: int = HOLDERS_PER_WORKSPACE
+    ):
         self._limit = limit
         self._book = book
         self._clock = clock
@@ -126,7 +128,7 @@
         return min(self._limit, self._book.most_live)
 
     @property
-    def everyone(self) -> bool:
+    def all_routers_hold(self) -> bool:
         """See ``HoldersBase.everyone``."""
         return self._book.most_live <= self._limit
 
@@ -137,9 +139,9 @@
 
     def holds(self, workspace: str) -> bool:
         """See ``HoldersBase.holds``."""
-        return self.everyone or self._book.own_address in self._ranking(workspace)
+        return self.all_routers_hold or self._book.own_address in self._ranking(workspace)
 
-    def others(self, workspace: str) -> list[str]:
+    def other_holders(self, workspace: str) -> list[str]:
         """See ``HoldersBase.others``; each is the first in turn, so that all know the demand."""
         now_s = self._clock()
         own = self._book.own_address
@@ -154,8 +156,8 @@
         first = self._turn % len(known)
         return known[first:] + known[:first]
 
-    def note_silent(self, address: str) -> None:
-        """See ``HoldersBase.note_silent``."""
+    def mark_unresponsive(self, address: str) -> None:
+        """See ``HoldersBase.mark_unresponsive``."""
         self._resting[address] = self._clock() + _REST_S
 
     def _forget_old_ranking(self) -> None:
--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -6,7 +6,7 @@
 from turnward.gateway.holders import HoldersBase
 from turnward.gateway.loans import LOANS_PATH, LenderBase, Loan
 
-__all__ = ["HoldersAsLenders", "PeersAsLenders"]
+__all__ = ["HolderLenders", "PeerLenders"]
 
 #: Seconds that a borrower waits for a lender's answer.
 _ANSWER_LIMIT_S = 0.15
@@ -18,7 +18,7 @@
 _UNKNOWN_TOKENS = 1_000_000_000
 
 
-class PeersAsLenders(LenderBase):
+class PeerLenders(LenderBase):
     """Asks the peers, by what their digests say they can spare.
 
     Parameters
@@ -60,20 +60,20 @@
             return 0
 
 
-class HoldersAsLenders(LenderBase):
+class HolderLenders(LenderBase):
     """The other holders of a workspace, where the fleet is too large for all to tell all.
 
     Parameters
     ----------
     holders : HoldersBase
         Who holds tokens.
-    peers : PeersAsLenders
+    peers : PeerLenders
         Asks; and tells who can spare what while every router holds tokens.
     clock : callable
         Steady clock in seconds.
     """
 
-    def __init__(self, holders: HoldersBase, peers: PeersAsLenders, clock):
+    def __init__(self, holders: HoldersBase, peers: PeerLenders, clock):
         self._holders = holders
         self._peers = peers
         self._clock = clock
@@ -81,12 +81,12 @@
 
     def spare(self, workspace):
         """See ``LenderBase.spare``."""
-        if self._holders.everyone:
+        if self._holders.all_routers_hold:
             return self._peers.spare(workspace)
         now_s = self._clock()
         return [
             (address, _UNKNOWN_TOKENS)
-            for address in self._holders.others(workspace)
+            for address in self._holders.other_holders(workspace)
             if self._empty_until_s.get((workspace, address), 0.0) <= now_s
         ]
 
--- a/turnward/gateway/loans.py
+++ b/turnward/gateway/loans.py
@@ -23,7 +23,7 @@
     "LoanReturn",
     "LoanRule",
     "NoLenders",
-    "Spare",
+    "LoanOffer",
 ]
 
 LOANS_PATH = b"/state/loans"
@@ -35,23 +35,23 @@
 
     Attributes
     ----------
-    lenders_asked : int
+    max_lenders : int
         Peers asked for one request's shortage at most.
-    ahead_s : float
+    lookahead_s : float
         Seconds of demand that a loan covers beyond what waits.
-    kept_s : float
+    retained_s : float
         Seconds of demand that a lender keeps for itself.
-    least_offer_tokens : int
+    min_offer_tokens : int
         Fewer tokens are not offered.
     """
 
-    lenders_asked: int = 4
-    ahead_s: float = 2.0
-    kept_s: float = 1.5
-    least_offer_tokens: int = 500
+    max_lenders: int = 4
+    lookahead_s: float = 2.0
+    retained_s: float = 1.5
+    min_offer_tokens: int = 500
 
 
-class Spare(msgspec.Struct, frozen=True, array_like=True):
+class LoanOffer(msgspec.Struct, frozen=True, array_like=True):
     """What one router could lend of one workspace's tokens."""
 
     workspace: str
@@ -63,9 +63,9 @@
 
     Attributes
     ----------
-    least_tokens : int
+    required_tokens : int
         What waiting requests need.
-    most_tokens : int
+    desired_tokens : int
         What is of use soon.
     priority : int
         Urgency of the request that needs them; 0 is the most urgent.
@@ -75,8 +75,8 @@
     """
 
     workspace: str
-    least_tokens: int
-    most_tokens: int
+    required_tokens: int
+    desired_tokens: int
     priority: int = 0
     for_request: bool = False
 
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from turnward.gateway.account_news import ToldAccount
-from turnward.gateway.loans import Spare
+from turnward.gateway.account_updates import AccountUpdate
+from turnward.gateway.loans import LoanOffer
 from turnward.gateway.rate_limit import ToldLimit
 from turnward.gateway.word_news import ToldWord
 from turnward.gateway.zone_orders import ZoneOrder
@@ -112,7 +112,7 @@
         Which endpoints leave or want rest, as it was told lately.
     limits : tuple of ToldLimit
         The rates that endpoints named lately, as far as it knows.
-    accounts : tuple of ToldAccount
+    accounts : tuple of AccountUpdate
         What the rows of workspaces' tokens say that it has written lately.
     """
 
@@ -127,14 +127,14 @@
     loads: tuple[EndpointLoad, ...] = ()
     stopping: bool = False
     short: bool = False
-    spare: tuple[Spare, ...] = ()
+    spare: tuple[LoanOffer, ...] = ()
     link_mbit_per_s: float = 0.0
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineWord = NO_WORD
     words: tuple[ToldWord, ...] = ()
     limits: tuple[ToldLimit, ...] = ()
     endpoints_era: int = 0
-    accounts: tuple[ToldAccount, ...] = ()
+    accounts: tuple[AccountUpdate, ...] = ()
 
     @property
     def endpoints_as_of(self) -> RowVersion:
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -281,7 +281,7 @@
         starts = before is None or before.digest is None
         if starts or before.digest.incarnation != digest.incarnation:
             # It can't know what rows said that the store may have lost.
-            self._accounts.news.tell_all()
+            self._accounts.news.announce_all()
         peer = self._book.hear(digest)
         if peer is None:
             return
--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -18,7 +18,7 @@
 import msgspec
 from twisted.internet import defer
 
-from turnward.gateway.account_news import AccountNews
+from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.accounts import (
     ROW_NAME,
     TABLE,
@@ -35,13 +35,13 @@
 from turnward.gateway.borrowing import Borrower
 from turnward.gateway.configuration import Workspace
 from turnward.gateway.end_reserve import EndReserve, EndReserveRule
-from turnward.gateway.holder_client import HandBack, HolderClient
+from turnward.gateway.holder_client import HolderClient, ReturnOutcome
 from turnward.gateway.holders import EveryRouterHolds, HoldersBase
-from turnward.gateway.loans import LenderBase, Loan, LoanAsk, LoanReturn, LoanRule, Spare
+from turnward.gateway.loans import LenderBase, Loan, LoanAsk, LoanOffer, LoanReturn, LoanRule
 from turnward.gateway.restoring import AccountRestorer
 from turnward.gateway.spending import PromiseRule, SpendBound, SpendReports, spend_bound_for
 from turnward.gateway.workspace_account import WaitingRequest, WorkspaceAccount
-from turnward.ledger import BudgetView, GrantAsk, GrantLedger, Reservation, SizingRule
+from turnward.ledger import BudgetView, GrantLedger, GrantRequest, Reservation, SizingRule
 from turnward.rows import (
     RowChange,
     RowKey,
@@ -121,7 +121,7 @@
     ----------
     holder_client : HolderClient or None
         Asks the holders of workspaces that this router does not hold.
-    news : AccountNews
+    news : AccountUpdates
         What rows are known to have said, here and at other routers.
     on_written : callable
         Called after each write of a row, of which others should know soon.
@@ -161,7 +161,7 @@
         self._lost_contact = False
         self._stopping = False
         self.ledger = GrantLedger(rule)
-        self.news = AccountNews(reactor.seconds, store.eras)
+        self.news = AccountUpdates(reactor.seconds, store.eras)
         self.on_written: Callable[[], None] = lambda: None
         self._restorer = AccountRestorer(reactor, store, incarnation, self.ledger, self.news, log)
         self._borrower = Borrower(
@@ -204,7 +204,7 @@
         """
         holds = self._holders.holds(workspace)
         if self._holders.settled:
-            self.ledger.set_ahead(workspace, holds)
+            self.ledger.set_prefetch(workspace, holds)
         return holds
 
     def _reserve_locally(self, workspace: str, tokens: int, priority: int):
@@ -228,7 +228,7 @@
             return self._refused(account, tokens, BudgetRefusal.UNREACHABLE)
         waiter = WaitingRequest(tokens, exhausted)
         self._let_wait(account, waiter)
-        no_help = self._lost_contact or self._restorer.waits_for_s > 0
+        no_help = self._lost_contact or self._restorer.remaining_wait_s > 0
         if lendable and (no_help or self._store_has_too_little(account, workspace)):
             self._borrow(account)
         else:
@@ -239,7 +239,7 @@
     def _let_wait(self, account: WorkspaceAccount, waiter: WaitingRequest) -> None:
         """Let a request wait for tokens, for a bounded time."""
         account.waiters.append(waiter)
-        limit_s = _WAIT_S + self._restorer.waits_for_s
+        limit_s = _WAIT_S + self._restorer.remaining_wait_s
         self._reactor.callLater(limit_s, self._give_up, account.workspace, waiter)
 
     def _refused(
@@ -323,7 +323,7 @@
         if reservation is not None:
             return reservation
         # It is asked for below; the plans must not take it from the store as well.
-        self.ledger.clear_want(workspace)
+        self.ledger.clear_wanted(workspace)
         account = self._account(workspace)
         waiter = WaitingRequest(tokens)
         part = self._reserve_part(workspace)
@@ -379,7 +379,7 @@
             elif isinstance(answer, Reservation):
                 self.settle(answer, 0)
 
-        answer = self._reserve_locally(ask.workspace, max(1, ask.least_tokens), ask.priority)
+        answer = self._reserve_locally(ask.workspace, max(1, ask.required_tokens), ask.priority)
         if isinstance(answer, defer.Deferred):
             answer.addCallback(decide)
         else:
@@ -392,7 +392,7 @@
             return Loan(0, exhausted=answer is BudgetRefusal.EXHAUSTED)
         self.ledger.settle(answer, answer.tokens)
         self._log_lent(ask.workspace, answer.tokens)
-        ahead = LoanAsk(ask.workspace, 0, ask.most_tokens - ask.least_tokens)
+        ahead = LoanAsk(ask.workspace, 0, ask.desired_tokens - ask.required_tokens)
         return Loan(answer.tokens + self.lend(ahead))
 
     def accept_return(self, returned: LoanReturn) -> None:
@@ -425,10 +425,10 @@
             return
         tokens = reservation.tokens
         self.ledger.settle(reservation, tokens)
-        became = await self.holder_client.hand_back(workspace, tokens)
-        if became is HandBack.NOT_SENT:
+        became = await self.holder_client.return_tokens(workspace, tokens)
+        if became is ReturnOutcome.NOT_SENT:
             self.ledger.unsettle(workspace, tokens)
-        elif became is HandBack.LOST:
+        elif became is ReturnOutcome.LOST:
             self._log.failure("prepaid.lost_on_return", workspace=workspace, tokens=tokens)
 
     # The work.
@@ -482,16 +482,16 @@
         """Share what is held without demand, and looks at rows, among the holders."""
         routers = self._holders.count
         view_s = min(_VIEW_LIMIT_S, routers * len(self._accounts) / _FLEET_VIEWS_PER_S)
-        near_s = max(self._rule.near_view_s, view_s)
+        near_s = max(self._rule.near_limit_refresh_s, view_s)
         self.ledger.rule = msgspec.structs.replace(
             self._rule,
             floor_share=self._rule.floor_share / routers,
-            near_view_s=near_s,
-            far_view_s=max(self._rule.far_view_s, near_s),
+            near_limit_refresh_s=near_s,
+            default_refresh_s=max(self._rule.default_refresh_s, near_s),
         )
 
     def _needs_work(self, workspace: str, account: WorkspaceAccount, now_s: float) -> bool:
-        if self._restorer.is_due(account):
+        if self._restorer.needs_restore(account):
             return True
         if account.unresolved is not None or account.waiters:
             return True
@@ -499,9 +499,9 @@
             return True
         if self._stopping:
             return self.ledger.free_tokens(workspace) > 0
-        if self.ledger.needs_view(workspace, now_s) or self.ledger.plan_return(workspace, now_s):
+        if self.ledger.needs_refresh(workspace, now_s) or self.ledger.plan_return(workspace, now_s):
             return True
-        return self.ledger.plan_take(workspace, now_s) is not None
+        return self.ledger.plan_grant(workspace, now_s) is not None
 
     def work_on(self, workspace: str) -> None:
         """Bring one workspace's grant in line with what is needed, one call at a time."""
@@ -623,11 +623,11 @@
                 await self._read(workspace, account)
                 tokens = self._grantable(account, ask)
                 if tokens <= 0:
-                    self.ledger.clear_want(workspace)
+                    self.ledger.clear_wanted(workspace)
                     return
             if await self._write(workspace, account, tokens):
                 self.ledger.add(workspace, tokens)
-                self.ledger.clear_want(workspace)
+                self.ledger.clear_wanted(workspace)
                 self._log.event(
                     "prepaid.taken",
                     workspace=workspace,
@@ -640,7 +640,7 @@
 
     async def _fold_only(self, workspace: str, account: WorkspaceAccount) -> None:
         """Write what earlier incarnations gave back, where nothing else is to be written."""
-        if account.unfolded is not None and not self._holders.everyone:
+        if account.unfolded is not None and not self._holders.all_routers_hold:
             await self._write(workspace, account, 0)
 
     async def _look(self, workspace: str, account: WorkspaceAccount) -> None:
@@ -654,7 +654,7 @@
             self._take_in(workspace, account, row)
         if account.unresolved is not None:
             await self._resolve(workspace, account)
-        stale = self.ledger.needs_view(workspace, self._reactor.seconds())
+        stale = self.ledger.needs_refresh(workspace, self._reactor.seconds())
         if account.row is None or stale:
             await self._read(workspace, account)
 
@@ -663,30 +663,30 @@
             return self.ledger.free_tokens(workspace)
         return self.ledger.plan_return(workspace, self._reactor.seconds())
 
-    def _ask(self, workspace: str, account: WorkspaceAccount) -> GrantAsk | None:
-        if self._restorer.waits_for_s > 0:
+    def _ask(self, workspace: str, account: WorkspaceAccount) -> GrantRequest | None:
+        if self._restorer.remaining_wait_s > 0:
             return None
-        ask = self.ledger.plan_take(workspace, self._reactor.seconds())
+        ask = self.ledger.plan_grant(workspace, self._reactor.seconds())
         if self._stopping:
             ask = None
         waiting = account.waiting_tokens
         short = waiting - max(0, self.ledger.free_tokens(workspace))
         if short <= 0:
             return ask
-        most = max(short, ask.most_tokens if ask is not None else 0)
-        return GrantAsk(short, most)
+        most = max(short, ask.desired_tokens if ask is not None else 0)
+        return GrantRequest(short, most)
 
-    def _grantable(self, account: WorkspaceAccount, ask: GrantAsk) -> int:
+    def _grantable(self, account: WorkspaceAccount, ask: GrantRequest) -> int:
         if account.all_from_reserve:
             left = ungranted_tokens(account.row)
-            return min(ask.least_tokens, left) if left >= ask.least_tokens else 0
+            return min(ask.required_tokens, left) if left >= ask.required_tokens else 0
         left = account.end_reserve.available_tokens(account.row)
         shared = int(left * self.ledger.rule.share)
-        tokens = min(ask.most_tokens, max(ask.least_tokens, shared))
+        tokens = min(ask.desired_tokens, max(ask.required_tokens, shared))
         if tokens <= left:
             return tokens
         # What is left serves some of those that wait, if not all.
-        return max(0, left) if ask.least_tokens else 0
+        return max(0, left) if ask.required_tokens else 0
 
     async def _give_back(self, workspace: str, account: WorkspaceAccount, spare: int) -> None:
         taken = self.ledger.withdraw(workspace, spare)
@@ -722,7 +722,7 @@
             account.row = self._fold(workspace, limited)
             account.unfolded = limited if account.row is not limited else None
             account.version = 0 if row.gone else row.version
-            self._restorer.note_row(account, stored, row)
+            self._restorer.observe_row(account, stored, row)
         self._observe(workspace, account)
 
     def _observe(self, workspace: str, account: WorkspaceAccount) -> None:
@@ -775,7 +775,7 @@
 
     def _tell_written(self, workspace: str, version: int, row: AccountRow) -> None:
         """Let the other routers know what a row says of which the store alone knows so far."""
-        self.news.note_written(workspace, version, taken_tokens(row))
+        self.news.record_written(workspace, version, taken_tokens(row))
         self.on_written()
 
     def _changed_grant(self, row: AccountRow, delta_tokens: int, version: int) -> AccountRow:
@@ -854,15 +854,15 @@
             now_s < account.short_until_s for account in self._accounts.values()
         )
 
-    def spare(self) -> list[Spare]:
+    def spare(self) -> list[LoanOffer]:
         """Return what could be lent, most first."""
-        offers = [Spare(name, self._lendable_tokens(name)) for name in self.ledger.budgets()]
-        offers = [offer for offer in offers if offer.tokens >= self._loan_rule.least_offer_tokens]
+        offers = [LoanOffer(name, self._lendable_tokens(name)) for name in self.ledger.budgets()]
+        offers = [offer for offer in offers if offer.tokens >= self._loan_rule.min_offer_tokens]
         return sorted(offers, key=lambda offer: -offer.tokens)
 
     def lend(self, ask: LoanAsk) -> int:
         """Give tokens to a peer; they count as spent here from now on."""
-        tokens = min(max(0, ask.most_tokens), self._lendable_tokens(ask.workspace))
+        tokens = min(max(0, ask.desired_tokens), self._lendable_tokens(ask.workspace))
         if tokens <= 0:
             return 0
         reservation = self._try_reserve(ask.workspace, tokens, first_try=False)
@@ -886,7 +886,7 @@
             return 0
         spendable = self._spendable_tokens(workspace)
         demand = self.ledger.demand_tokens_per_s(workspace, self._reactor.seconds())
-        return max(spendable - int(demand * self._loan_rule.kept_s), spendable // 2)
+        return max(spendable - int(demand * self._loan_rule.retained_s), spendable // 2)
 
     def _borrow(self, account: WorkspaceAccount) -> None:
         """Ask peers for what waiting requests need, one loan at a time."""
@@ -961,7 +961,7 @@
         """Give back from now on what is not reserved, before a planned stop."""
         self._stopping = True
         for workspace in self._accounts:
-            if self._holders.everyone or self.ledger.free_tokens(workspace) > 0:
+            if self._holders.all_routers_hold or self.ledger.free_tokens(workspace) > 0:
                 self.work_on(workspace)
 
     @property
@@ -978,6 +978,6 @@
             reserve = EndReserve(self._end_rule, f"{self._incarnation}/{workspace}")
             account = self._accounts[workspace] = WorkspaceAccount(workspace, reserve)
             # Nothing is taken ahead of demand before it is known who holds what.
-            self.ledger.set_ahead(workspace, False)
+            self.ledger.set_prefetch(workspace, False)
             self._holds(workspace)
         return account
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -25,8 +25,8 @@
 )
 from turnward.gateway.forwarding import Forwarder, ForwardingRules
 from turnward.gateway.holder_client import HolderClient
-from turnward.gateway.holders import RankedHolders
-from turnward.gateway.lenders import HoldersAsLenders, PeersAsLenders
+from turnward.gateway.holders import RendezvousHolders
+from turnward.gateway.lenders import HolderLenders, PeerLenders
 from turnward.gateway.logs import GatewayLog
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.member_ranks import MemberRanks
@@ -94,10 +94,10 @@
     minimum_tokens=2_000,
     share=0.5,
     floor_share=0.5,
-    weighs_start=True,
-    keep_s=4.0,
-    near_view_s=1.0,
-    far_view_s=3.0,
+    bias_corrected=True,
+    idle_return_s=4.0,
+    near_limit_refresh_s=1.0,
+    default_refresh_s=3.0,
 )
 
 
@@ -205,7 +205,7 @@
         self.endpoints.on_pace_class = news.note_pace_class
         self.endpoints.on_word = news.note_word
         self.endpoints.on_rate_limit = news.note_rate_limit
-        self.holders = RankedHolders(self.book, reactor.seconds, settings.budget_holders)
+        self.holders = RendezvousHolders(self.book, reactor.seconds, settings.budget_holders)
         self.accounts = PrepaidAccounts(
             reactor,
             store,
@@ -298,8 +298,8 @@
         self.accounts.on_written = self._account_written
         self.accounts.holder_client = HolderClient(self.holders, self.peers.call_or_fail, self._log)
         if self._settings.mechanisms.loans:
-            peers = PeersAsLenders(self.book, call, self._reactor.seconds)
-            self.accounts.lenders = HoldersAsLenders(self.holders, peers, self._reactor.seconds)
+            peers = PeerLenders(self.book, call, self._reactor.seconds)
+            self.accounts.lenders = HolderLenders(self.holders, peers, self._reactor.seconds)
 
     def _account_written(self) -> None:
         """Let the others know what a store that goes back would lose."""
--- a/turnward/gateway/restoring.py
+++ b/turnward/gateway/restoring.py
@@ -7,7 +7,7 @@
 claimed yet stays counted as taken. It also waits until word of the last writes has come round.
 """
 
-from turnward.gateway.account_news import AccountNews
+from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.accounts import (
     ROW_NAME,
     TABLE,
@@ -51,7 +51,7 @@
         This router.
     ledger : GrantLedger
         Knows what this router was granted.
-    news : AccountNews
+    news : AccountUpdates
         Knows what rows said before the return.
     log : GatewayLog
         Told of each row that was brought in line.
@@ -63,7 +63,7 @@
         store: VersionedStoreBase,
         incarnation: str,
         ledger: GrantLedger,
-        news: AccountNews,
+        news: AccountUpdates,
         log,
     ):
         self._reactor = reactor
@@ -80,14 +80,14 @@
     def _note_return(self, era: int) -> None:
         self._returned = True
         self._wait_for_word()
-        self._news.tell_all()
+        self._news.announce_all()
 
     def _wait_for_word(self) -> None:
         self._waited = True
         self._waits_until_s = self._reactor.seconds() + _WORD_S
 
     @property
-    def waits_for_s(self) -> float:
+    def remaining_wait_s(self) -> float:
         """For how long nothing may be taken: a router may still be about to claim what it holds."""
         return max(0.0, self._waits_until_s - self._reactor.seconds())
 
@@ -100,14 +100,14 @@
         """Tell whether a row says what is held here, in the store's present era."""
         return account.era == self._store.eras.current
 
-    def is_due(self, account: WorkspaceAccount) -> bool:
+    def needs_restore(self, account: WorkspaceAccount) -> bool:
         """Tell whether a row has to be brought in line."""
         if not self._returned or self.is_current(account):
             return False
         known = self._news.latest_before(account.workspace, self._store.eras.current)
         return known is not None or self._held_tokens(account) != 0
 
-    def note_row(self, account: WorkspaceAccount, stored: AccountRow, row: StoredRow) -> None:
+    def observe_row(self, account: WorkspaceAccount, stored: AccountRow, row: StoredRow) -> None:
         """Take in a row as it was read; one that an unaware writer has undone is not in line.
 
         Such a writer did not know of the return, and its condition held since the number that it
@@ -120,7 +120,7 @@
         if row.version and (undone or claimed < self._held_tokens(account)):
             account.era = -1
         elif row.version:
-            self._news.note_seen(account.workspace, row.version, taken_tokens(stored))
+            self._news.record_read(account.workspace, row.version, taken_tokens(stored))
 
     def _held_tokens(self, account: WorkspaceAccount) -> int:
         """Return what the row has to say of this router: all it was granted by it."""
@@ -152,7 +152,7 @@
             except VersionConflictError as conflict:
                 row = conflict.rows[0] if conflict.rows else await self._store.read_row(key)
                 continue
-            self._news.note_written(account.workspace, version, taken_tokens(wanted))
+            self._news.record_written(account.workspace, version, taken_tokens(wanted))
             self._log_restored(account, stored, wanted)
             return self._in_line(account, StoredRow(key, change.value, version))
         return None
@@ -178,7 +178,7 @@
         # Nobody has acted on this row in this era, so far as it says.
         if not self._waited:
             self._wait_for_word()
-        if self.waits_for_s > 0 and not held:
+        if self.remaining_wait_s > 0 and not held:
             # Those that hold something know more.
             return None
         if unknown:
--- a/turnward/gateway/settings.py
+++ b/turnward/gateway/settings.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from turnward.gateway.holders import HOLDERS
+from turnward.gateway.holders import HOLDERS_PER_WORKSPACE
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.settings import SettingsError, convert_checked, parse_address, read_toml
 
@@ -59,7 +59,7 @@
     link_mbit_per_s: float = 0.0
     endpoint_heartbeat_ms: float = 1_200.0
     budget_reserve_share: float = 0.0
-    budget_holders: int = HOLDERS
+    budget_holders: int = HOLDERS_PER_WORKSPACE
     mechanisms: Mechanisms = Mechanisms()
 
     def faults(self) -> list[str]:
--- a/turnward/gateway/tests/return_plays.py
+++ b/turnward/gateway/tests/rollback_simulation.py
@@ -6,7 +6,7 @@
 from turnward.gateway.tests.rig import Rig, answered, well
 from turnward.standins import RowsCopy
 
-__all__ = ["ReturnPlay"]
+__all__ = ["RollbackSimulation"]
 
 #: Seconds between two writes of others, which let the store's numbers rise.
 _BEAT_S = 0.05
@@ -24,7 +24,7 @@
     copy: RowsCopy
 
 
-class ReturnPlay:
+class RollbackSimulation:
     """Gateways before a store that can be away and come back from a copy.
 
     Parameters
@@ -74,7 +74,7 @@
         copy = (copies or self._moments[:1])[-1].copy
         lost = {key: row for key, row in rows.copy().rows.items() if key.table in WRITTEN_AGAIN}
         rows.faults.away = True
-        self.ask_for(away_s)
+        self.run_traffic(away_s)
         rows.go_back(copy)
         self._moments.clear()
         rows.faults.away = False
@@ -94,7 +94,7 @@
         """Return the numbers of the gateways that callers can reach."""
         return list(range(len(self.rig.gateways)))
 
-    def ask_for(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
+    def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
         """Send a request to each gateway in turn, and go on for a while."""
         until_s = self.now_s + seconds
         while self.now_s < until_s:
--- a/turnward/gateway/tests/test_builds_side_by_side.py
+++ b/turnward/gateway/tests/test_builds_side_by_side.py
@@ -18,7 +18,7 @@
 
 from turnward.gateway.accounts import AccountRow
 from turnward.gateway.configuration import ConfigurationCopy
-from turnward.gateway.loans import Loan, LoanAsk, LoanReturn, Spare
+from turnward.gateway.loans import Loan, LoanAsk, LoanOffer, LoanReturn
 from turnward.gateway.members import Member
 from turnward.gateway.overlay import FleetSummary
 from turnward.gateway.peer_book import DIGEST_LAYOUT, OLDEST_DIGEST_LAYOUT, Digest, EndpointLoad
@@ -119,8 +119,8 @@
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(body, type=Middle)
     short = {"workspace": "acme", "tokens": 7}
-    assert differences(short, Spare("acme", 7)) == []
-    assert differences({"workspace": "acme", "pledged": 1, "tokens": 7}, Spare("acme", 1)) != []
+    assert differences(short, LoanOffer("acme", 7)) == []
+    assert differences({"workspace": "acme", "pledged": 1, "tokens": 7}, LoanOffer("acme", 1)) != []
     assert differences(fields, EndpointLoad("e", 40, 3, 1.5, 2.5)) == [
         ".requests",
         ".prefill_tokens",
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -11,7 +11,7 @@
 import pytest
 from twisted.internet import defer
 
-from turnward.gateway.holder_client import HandBack, HolderClient
+from turnward.gateway.holder_client import HolderClient, ReturnOutcome
 from turnward.gateway.holders import EveryRouterHolds
 from turnward.gateway.loans import LOANS_PATH, LoanAsk, LoanReturn
 from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
@@ -34,7 +34,7 @@
     def holds(self, workspace):
         return False
 
-    def others(self, workspace):
+    def other_holders(self, workspace):
         return ["holder", "holder again"]
 
 
@@ -127,13 +127,13 @@
         return loan
 
 
-class HandsBackWhatItKeeps(PrepaidAccounts):
+class ReturnsTokensItKeeps(PrepaidAccounts):
     """Broken: tokens that are handed back stay free at the sender."""
 
     async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
         if tokens:
-            await self.holder_client.hand_back(workspace, tokens)
+            await self.holder_client.return_tokens(workspace, tokens)
 
 
 class TakesLostTokensBack(PrepaidAccounts):
@@ -145,11 +145,11 @@
         if reservation is None:
             return
         self.ledger.settle(reservation, tokens)
-        if await self.holder_client.hand_back(workspace, tokens) is not HandBack.TAKEN:
+        if await self.holder_client.return_tokens(workspace, tokens) is not ReturnOutcome.TAKEN:
             self.ledger.unsettle(workspace, tokens)
 
 
-class LendsToWhoeverHasGone(PrepaidAccounts):
+class LendsUngrantedTokens(PrepaidAccounts):
     """Broken: lends what it has neither granted nor reported."""
 
     def _reserve_locally(self, workspace, tokens, priority):
@@ -157,13 +157,13 @@
         return super()._reserve_locally(workspace, tokens, priority)
 
 
-class HandsBackTwice(HolderClient):
+class ReturnsTokensTwice(HolderClient):
     """Broken: sends tokens to the next holder when the first does not answer."""
 
-    async def hand_back(self, workspace, tokens):
-        became = await super().hand_back(workspace, tokens)
-        if became is HandBack.LOST:
-            became = await super().hand_back(workspace, tokens)
+    async def return_tokens(self, workspace, tokens):
+        became = await super().return_tokens(workspace, tokens)
+        if became is ReturnOutcome.LOST:
+            became = await super().return_tokens(workspace, tokens)
         return became
 
 
@@ -208,10 +208,10 @@
     "broken",
     [
         LendsWithoutCounting,
-        HandsBackWhatItKeeps,
+        ReturnsTokensItKeeps,
         TakesLostTokensBack,
-        LendsToWhoeverHasGone,
-        HandsBackTwice,
+        LendsUngrantedTokens,
+        ReturnsTokensTwice,
         CountsReturnsAsOwn,
     ],
 )
@@ -221,7 +221,7 @@
     assert is_caught(lambda seed: play_seed(seed, **variant), seeds=2_000)
 
 
-def test_request_without_a_holder_that_answers_waits_for_the_store():
+def test_request_waits_for_the_store_when_no_holder_answers():
     world = HolderWorld()
     world.calm(1.0)
     answers = []
@@ -233,7 +233,7 @@
     assert isinstance(answers[0], Reservation)
 
 
-def test_holder_that_knows_the_tokens_are_used_up_says_so():
+def test_holder_reports_an_exhausted_budget():
     world = HolderWorld()
     world.calm(1.0)
     answers = []
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -7,7 +7,7 @@
 
 from turnward.gateway import Repeat, Workspace
 from turnward.gateway.accounts import decode_account
-from turnward.gateway.holders import HOLDERS, RankedHolders
+from turnward.gateway.holders import HOLDERS_PER_WORKSPACE, RendezvousHolders
 from turnward.gateway.loans import RETURNS_PATH, LoanAsk, LoanReturn
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.prepaid import ROW_NAME, TABLE
@@ -28,12 +28,12 @@
         for number, address in enumerate(addresses):
             book.add_member(address, f"z{number % 3}")
         book.members_read = True
-        found[own] = RankedHolders(book, clock.seconds, limit)
+        found[own] = RendezvousHolders(book, clock.seconds, limit)
     clock.advance(1.0)
     return found
 
 
-@pytest.mark.parametrize("limit", [1, HOLDERS, 8])
+@pytest.mark.parametrize("limit", [1, HOLDERS_PER_WORKSPACE, 8])
 @pytest.mark.parametrize("size", [1, 7, 8, 9, 86])
 def test_all_routers_agree_on_a_few_holders(size, limit):
     fleet = fleet_of(size, limit)
@@ -41,7 +41,7 @@
         holders = {own for own, ranking in fleet.items() if ranking.holds(workspace)}
         assert len(holders) == min(size, limit)
         for own, ranking in fleet.items():
-            assert set(ranking.others(workspace)) == holders - {own}
+            assert set(ranking.other_holders(workspace)) == holders - {own}
 
 
 def test_holders_are_spread_over_routers():
@@ -51,22 +51,22 @@
     for workspace in map(str, range(40)):
         for own, ranking in fleet.items():
             load[own] += ranking.holds(workspace)
-            first[ranking.others(workspace)[0]] += 1
+            first[ranking.other_holders(workspace)[0]] += 1
     assert max(load.values()) <= 12
     assert max(first.values()) <= 6 * 40
 
 
-def test_holder_that_does_not_answer_rests_for_a_while():
+def test_unresponsive_holder_is_skipped_for_a_while():
     ranking = next(iter(fleet_of(30).values()))
-    silent, *rest = ranking.others("a")
-    ranking.note_silent(silent)
-    assert set(ranking.others("a")) == set(rest)
+    silent, *rest = ranking.other_holders("a")
+    ranking.mark_unresponsive(silent)
+    assert set(ranking.other_holders("a")) == set(rest)
 
 
-def test_nothing_is_taken_ahead_before_the_members_are_known():
+def test_membership_is_settled_only_after_members_are_read():
     clock = task.Clock()
     book = PeerBook("10.0.0.1:80", clock.seconds)
-    holders = RankedHolders(book, clock.seconds)
+    holders = RendezvousHolders(book, clock.seconds)
     clock.advance(5.0)
     assert not holders.settled
     book.members_read = True
@@ -77,7 +77,7 @@
     assert holders.settled
 
 
-def test_tokens_stay_where_they_are_while_members_are_being_added():
+def test_tokens_do_not_move_while_members_are_added():
     rig = large_rig()
     holders = [number for number, holder in enumerate(holds(rig)) if holder]
     held = [rig.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
@@ -115,7 +115,7 @@
 
 def test_only_holders_have_grants_and_write_reports():
     rig = large_rig()
-    assert sum(holds(rig)) == HOLDERS
+    assert sum(holds(rig)) == HOLDERS_PER_WORKSPACE
     names = {
         gateway.incarnation
         for gateway, holder in zip(rig.gateways, holds(rig), strict=True)
@@ -130,7 +130,7 @@
     assert written == names
 
 
-def test_router_that_holds_none_serves_out_of_a_holder_and_hands_the_rest_back():
+def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
     rig = large_rig()
     other = holds(rig).index(False)
     assert [ask(rig, other).status for _ in range(5)] == [200] * 5
@@ -150,7 +150,7 @@
     assert sum(own) == used
 
 
-def test_requests_at_the_same_time_do_not_count_on_the_same_tokens():
+def test_concurrent_requests_do_not_use_the_same_tokens():
     rig = large_rig()
     other = holds(rig).index(False)
     first = rig.ask(other, method=b"POST", body=b"", headers=rig.prompt(1_000, 400))
@@ -165,7 +165,7 @@
     assert not rig.logs[other].of("prepaid.taken")
 
 
-def test_holders_are_asked_in_turn():
+def test_holders_are_asked_round_robin():
     rig = large_rig()
     other = holds(rig).index(False)
     for _ in range(10):
@@ -178,7 +178,7 @@
     assert min(lent) >= 5
 
 
-def test_router_without_a_holder_takes_from_the_store():
+def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
     rig = large_rig()
     other = holds(rig).index(False)
     for number, holder in enumerate(holds(rig)):
@@ -188,7 +188,7 @@
     assert decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens[rig.gateways[other].incarnation]
 
 
-def test_router_that_holds_none_learns_from_its_feeds_that_the_store_is_back():
+def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
     rig = large_rig()
     none = [
         number for number, gateway in enumerate(rig.gateways) if not gateway.holders.holds("acme")
@@ -206,7 +206,7 @@
     assert ask(rig, none[0]).status == 200
 
 
-def test_routers_that_are_cut_off_from_the_store_are_served_by_holders():
+def test_routers_cut_off_from_the_store_borrow_from_holders():
     rig = large_rig()
     for client in rig.clients:
         client.faults.away = True
@@ -221,7 +221,7 @@
     assert {ask(rig, number).status for number in range(12)} == {402}
 
 
-def test_request_whose_caller_leaves_while_a_holder_is_asked_costs_no_tokens():
+def test_request_cancelled_while_borrowing_costs_no_tokens():
     rig = large_rig()
     other = holds(rig).index(False)
     caller = rig.send(other, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
@@ -231,7 +231,7 @@
     assert own <= 8_000 + 20
 
 
-def test_loan_of_a_borrower_that_has_gone_is_not_counted():
+def test_cancelled_loan_is_not_counted():
     rig = large_rig()
     holder = holds(rig).index(True)
     accounts = rig.gateways[holder].accounts
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("tokens", [0, -5])
-def test_returned_tokens_that_are_none_are_told_so(tokens):
+def test_return_of_a_non_positive_amount_is_rejected(tokens):
     rig = large_rig()
     before = rig.gateways[0].accounts.ledger.free_tokens("acme")
     body = msgspec.msgpack.encode(["acme", tokens])
@@ -257,7 +257,7 @@
     assert rig.gateways[0].accounts.ledger.free_tokens("acme") == before
 
 
-def test_tokens_handed_back_are_counted_once():
+def test_returned_tokens_are_counted_once():
     rig = large_rig()
     accounts = rig.gateways[holds(rig).index(True)].accounts
     before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
@@ -266,7 +266,7 @@
     assert after == (before[0] - 500, before[1] + 500)
 
 
-def test_successor_of_a_holder_returns_what_it_held_though_it_needs_none():
+def test_successor_of_a_holder_returns_grants_it_does_not_need():
     rig = large_rig()
     number = holds(rig).index(True)
     gateway = rig.gateways[number]
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -36,7 +36,7 @@
     return served
 
 
-def test_gateway_whose_tokens_run_out_in_a_cut_borrows_from_its_peer():
+def test_gateway_cut_off_from_the_store_borrows_from_its_peer():
     rig = loan_rig()
     assert ask_often(rig, 0, 4) == 4
     for client in rig.clients:
@@ -51,7 +51,7 @@
     assert rig.logs[1].of("prepaid.borrowed")[0]["tokens"] > 0
 
 
-def test_gateway_that_no_peer_can_help_refuses_at_once():
+def test_gateway_without_lenders_rejects_at_once():
     rig = loan_rig(gateways=1)
     for client in rig.clients:
         client.faults.away = True
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"nonsense", msgspec.msgpack.encode([1, 2, 3])])
-def test_bytes_that_are_no_ask_are_told_so_and_lend_nothing(body):
+def test_malformed_loan_request_is_rejected_and_lends_nothing(body):
     rig = loan_rig()
     before = rig.gateways[0].accounts.ledger.committed_tokens("acme")
     caller = rig.connect(port=PEERS_PORT)
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("most", [-5, 0, 10**12])
-def test_no_ask_gets_more_than_can_be_lent(most):
+def test_loan_never_exceeds_the_lendable_tokens(most):
     rig = loan_rig()
     accounts = rig.gateways[0].accounts
     free = accounts.ledger.free_tokens("acme")
@@ -85,7 +85,7 @@
     assert accounts.lend(LoanAsk("nobody", 1, most)) == 0
 
 
-def test_spare_tokens_are_told_only_while_some_router_is_short():
+def test_surplus_is_announced_only_while_a_router_is_short():
     rig = loan_rig()
     assert [gateway.peers.digest().spare for gateway in rig.gateways] == [(), ()]
     rig.clients[0].faults.away = True
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -20,7 +20,7 @@
     ungranted_tokens,
 )
 from turnward.gateway.configuration import Repeat, Workspace
-from turnward.gateway.loans import LenderBase, LoanRule, Spare
+from turnward.gateway.loans import LenderBase, LoanOffer, LoanRule
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import PromiseRule, SpendReports
 from turnward.gateway.tests.rig import KEY, ListLog, Rig, stream
@@ -41,11 +41,11 @@
     minimum_tokens=4,
     share=0.6,
     floor_share=0.08,
-    keep_s=2.0,
-    near_view_s=0.5,
-    weighs_start=True,
+    idle_return_s=2.0,
+    near_limit_refresh_s=0.5,
+    bias_corrected=True,
 )
-LOANS = LoanRule(least_offer_tokens=1)
+LOANS = LoanRule(min_offer_tokens=1)
 LIMIT = 60
 PROMISES = PromiseRule(
     burst_s=0.2, burst_tokens=2, rate_factor=0.5, relax_after_s=2.0, spend_all_s=10.0
@@ -378,14 +378,14 @@
     """Broken: does not count what it lends as spent."""
 
     def lend(self, ask):
-        return min(ask.most_tokens, self._lendable_tokens(ask.workspace))
+        return min(ask.desired_tokens, self._lendable_tokens(ask.workspace))
 
 
 class LendsBeyondItsPromise(PrepaidAccounts):
     """Broken: lends all that it holds, whatever it has reported."""
 
     def lend(self, ask):
-        tokens = min(ask.most_tokens, self.ledger.free_tokens(ask.workspace))
+        tokens = min(ask.desired_tokens, self.ledger.free_tokens(ask.workspace))
         if tokens <= 0:
             return 0
         result = self.ledger.reserve(ask.workspace, tokens, self._reactor.seconds(), False)
@@ -393,7 +393,7 @@
         return tokens
 
     def spare(self):
-        return [Spare("acme", self.ledger.free_tokens("acme"))]
+        return [LoanOffer("acme", self.ledger.free_tokens("acme"))]
 
 
 class CountsLoansTwice(PrepaidAccounts):
@@ -457,7 +457,7 @@
         CountsLoansTwice,
     ],
 )
-def test_random_schedules_catch_a_broken_account(broken):
+def test_random_schedules_catch_broken_accounting(broken):
     assert is_caught(lambda seed: run_schedule(random_schedule(seed), broken), seeds=3_000)
 
 
@@ -521,7 +521,7 @@
         world.stores[0],
         "node-0",
         "node-0@own",
-        SizingRule(floor_share=0.5, share=0.5, weighs_start=True),
+        SizingRule(floor_share=0.5, share=0.5, bias_corrected=True),
         ListLog(),
         lambda: routers,
     )
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -25,7 +25,7 @@
     return rig.run_gateway(machine, f"node-{index + 1}")
 
 
-def test_all_gateways_killed_serve_again_and_keep_the_limit():
+def test_restarted_gateways_serve_again_and_keep_the_limit():
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0)
     endpoint = rig.endpoint(stream(4))
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.5, 6.0, 20.0])
-def test_gateways_without_power_for_longer_than_a_lease_serve_again(away_s):
+def test_gateways_serve_again_after_an_outage_longer_than_a_lease(away_s):
     """Successors failed on reports whose lease was over, and got no tokens at all."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0)
@@ -72,7 +72,7 @@
     assert not [line for log in rig.logs for line in log.of("prepaid.fault")]
 
 
-def test_gateway_that_starts_while_the_store_is_away_learns_from_a_peer():
+def test_gateway_started_during_a_store_outage_gets_its_state_from_a_peer():
     rig = Rig()
     rig.endpoint(well)
     rig.ready(gateways=1)
@@ -83,7 +83,7 @@
     assert rig.ask(gateway=1).status == 200
 
 
-def test_gateway_that_starts_alone_while_the_store_is_away_serves_once_it_is_back():
+def test_lone_gateway_started_during_a_store_outage_serves_once_the_store_recovers():
     rig = Rig()
     rig.endpoint(well)
     rig.rows.put("configuration", "all", _encoded(rig))
@@ -96,7 +96,7 @@
     assert rig.ask().status == 200
 
 
-def test_repeats_stay_within_the_fleets_budget_when_every_endpoint_fails():
+def test_retries_stay_within_the_fleets_budget_when_every_endpoint_fails():
     rig = Rig(repeat=Repeat.ANY, attempts=3)
     for _ in range(4):
         rig.endpoint(reset)
@@ -112,7 +112,7 @@
     assert arrivals - asked <= 0.2 * asked + 50
 
 
-def test_answer_that_comes_before_the_whole_body_is_passed_on_and_the_rest_goes_nowhere():
+def test_early_response_is_forwarded_and_the_remaining_body_is_discarded():
     def early(endpoint, request):
         request.answer(200, answer_head(request), b"early")
 
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("declared", [True, False])
-def test_large_body_that_is_whole_before_the_endpoint_is_reached_is_framed_once(declared):
+def test_large_body_received_before_the_endpoint_is_reached_is_framed_once(declared):
     rig = Rig(repeat=Repeat.ONCE, time_limit_s=20.0)
     endpoint = rig.endpoint(well)
     rig.ready()
@@ -151,7 +151,7 @@
     assert endpoint.bodies == [body]
 
 
-def test_configuration_under_load_cuts_nothing():
+def test_configuration_changes_under_load_interrupt_no_request():
     rig = Rig(repeat=Repeat.ONCE, time_limit_s=9.0)
     rig.endpoint(lambda e, r: e.machine.callLater(0.5, well, e, r))
     rig.ready()
@@ -164,7 +164,7 @@
     assert {caller.status for caller in callers} == {200}
 
 
-def test_connections_reset_by_callers_harm_no_other():
+def test_connections_reset_by_callers_do_not_affect_others():
     rig = Rig()
     rig.endpoint(lambda e, r: e.machine.callLater(0.3, well, e, r))
     rig.ready()
@@ -180,7 +180,7 @@
     return msgspec.json.encode(rig.configuration)
 
 
-def test_endpoints_whose_entries_lapsed_with_the_store_serve_on_until_they_are_back():
+def test_endpoints_whose_entries_expired_during_a_store_outage_stay_in_use():
     """Without the mend no request is served until the entries are back."""
     rig = Rig()
     endpoints = [rig.endpoint(well) for _ in range(4)]
@@ -201,7 +201,7 @@
     assert rig.ask().status == 200
 
 
-def test_endpoints_whose_entries_do_not_come_back_are_gone():
+def test_endpoints_whose_entries_are_not_renewed_are_removed():
     rig = Rig()
     endpoints = [rig.endpoint(well) for _ in range(4)]
     rig.ready()
--- a/turnward/gateway/tests/test_return_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -114,7 +114,7 @@
         for router in filter(None, self.routers):
             # A router that hears of another one for the first time tells it all, before the next
             # one dies: if all who know die at once, nobody can tell what the store has lost.
-            router.news.tell_all()
+            router.news.announce_all()
         self.tell()
 
     def tell(self):
@@ -169,7 +169,7 @@
     return False
 
 
-def test_no_short_schedule_passes_the_limit_over_a_return():
+def test_no_short_schedule_exceeds_the_limit_after_a_rollback():
     steps = [action for action in ACTIONS if action[0] != "loan"]
     ends = (CALM, ("spend", 0, 25), CALM, ("spend", 1, 25), CALM, ("spend", 0, 13), CALM)
     for schedule in itertools.product(steps, steps):
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
-def test_no_random_schedule_passes_the_limit_over_returns(first):
+def test_no_random_schedule_exceeds_the_limit_after_rollbacks(first):
     for seed in range(first, first + 50):
         play(random_schedule(seed, MORE_RETURNS, 140))
 
@@ -215,6 +215,6 @@
 
 
 @pytest.mark.parametrize("broken", BROKEN)
-def test_random_schedules_catch_a_broken_account(broken, monkeypatch):
+def test_random_schedules_catch_broken_accounting(broken, monkeypatch):
     monkeypatch.setattr(*BROKEN[broken])
     assert is_caught(range(600))
--- a/turnward/gateway/tests/test_store_returns.py
+++ b/turnward/gateway/tests/test_store_returns.py
@@ -17,7 +17,7 @@
 import pytest
 
 from turnward.gateway.members import MEMBERS_TABLE, decode_member
-from turnward.gateway.tests.return_plays import ReturnPlay
+from turnward.gateway.tests.rollback_simulation import RollbackSimulation
 
 #: Seconds after which an endpoint that leaves must get nothing, as the users bound it.
 LEAVES_BINDS_S = 2.0
@@ -25,17 +25,17 @@
 
 def requests_after(play, endpoint, known_s):
     """Return how many requests reached an endpoint in the next seconds, from a moment on."""
-    play.ask_for(known_s)
+    play.run_traffic(known_s)
     before = len(endpoint.requests)
-    play.ask_for(3.0)
+    play.run_traffic(3.0)
     return len(endpoint.requests) - before
 
 
 def test_endpoint_that_leaves_after_the_store_came_back_is_sent_nothing_more():
-    play = ReturnPlay(gateways=3)
-    play.ask_for(8.0)
+    play = RollbackSimulation(gateways=3)
+    play.run_traffic(8.0)
     play.go_back(7.0, away_s=2.5)
-    play.ask_for(0.5)
+    play.run_traffic(0.5)
     leaving = play.endpoints[0]
     play.rig.announce(leaving, leaving=True)
     assert requests_after(play, leaving, LEAVES_BINDS_S) == 0
@@ -45,100 +45,100 @@
 @pytest.mark.parametrize("how", ["says it leaves", "is gone"])
 def test_copy_from_before_an_endpoint_left_brings_it_no_requests(how):
     """Its row of before stands again, until the endpoint has written anew what was lost."""
-    play = ReturnPlay(gateways=3)
-    play.ask_for(6.0)
+    play = RollbackSimulation(gateways=3)
+    play.run_traffic(6.0)
     leaving = play.endpoints[0]
     if how == "is gone":
         play.rig.rows.remove("endpoints", leaving.endpoint_id)
     else:
         play.rig.announce(leaving, leaving=True)
-    play.ask_for(2.0)
+    play.run_traffic(2.0)
     before = len(leaving.requests)
     play.go_back(5.0, written_again_s=2.0)
-    play.ask_for(4.0)
+    play.run_traffic(4.0)
     assert len(leaving.requests) == before
     assert set(play.statuses()) == {200}
 
 
 def test_endpoint_that_lives_is_used_again_though_its_entry_had_gone():
     """What is known of before the return holds for some seconds only, where nothing confirms it."""
-    play = ReturnPlay(gateways=3)
-    play.ask_for(6.0)
+    play = RollbackSimulation(gateways=3)
+    play.run_traffic(6.0)
     back = play.endpoints[0]
     play.rig.rows.remove("endpoints", back.endpoint_id)
-    play.ask_for(2.0)
+    play.run_traffic(2.0)
     play.go_back(5.0)
-    play.ask_for(0.2)
+    play.run_traffic(0.2)
     play.rig.announce(back)
     before = len(back.requests)
-    play.ask_for(3.0)
+    play.run_traffic(3.0)
     assert len(back.requests) > before
 
 
 @pytest.mark.parametrize("written_again_s", [0.0, 2.0])
 def test_zone_that_was_drained_stays_drained_over_a_return(written_again_s):
-    play = ReturnPlay(gateways=3)
+    play = RollbackSimulation(gateways=3)
     for endpoint, zone in zip(play.endpoints, ("north", "north", "south", "south"), strict=True):
         play.rig.announce(endpoint, zone=zone)
-    play.ask_for(6.0)
+    play.run_traffic(6.0)
     play.rig.rows.put("configuration", "drained/north", b"{}")
-    play.ask_for(2.0)
+    play.run_traffic(2.0)
     north = play.endpoints[:2]
     before = [len(endpoint.requests) for endpoint in north]
     play.go_back(5.0, written_again_s=written_again_s)
-    play.ask_for(8.0)
+    play.run_traffic(8.0)
     assert [len(endpoint.requests) for endpoint in north] == before
     play.rig.rows.remove("configuration", "drained/north")
-    play.ask_for(3.0)
+    play.run_traffic(3.0)
     assert len(north[0].requests) > before[0]
 
 
 def test_router_that_starts_while_the_store_is_away_ends_no_order():
     """It knew the order by its peers, and took the first table that it read for all there is."""
-    play = ReturnPlay(gateways=3)
+    play = RollbackSimulation(gateways=3)
     play.rig.announce(play.endpoints[0], zone="north")
-    play.ask_for(6.0)
+    play.run_traffic(6.0)
     play.rig.rows.put("configuration", "drained/north", b"{}")
-    play.ask_for(2.0)
+    play.run_traffic(2.0)
     north = play.endpoints[0]
     before = len(north.requests)
     play.rig.network.clock.callLater(0.3, play.rig.gateway)
     play.go_back(5.0, away_s=1.5, written_again_s=2.0)
-    play.ask_for(5.0)
+    play.run_traffic(5.0)
     assert play.rig.gateways[3].ready
     assert len(north.requests) == before
 
 
 def test_order_that_the_store_lost_for_good_ends_some_seconds_after_the_return():
-    play = ReturnPlay(gateways=3)
+    play = RollbackSimulation(gateways=3)
     play.rig.announce(play.endpoints[0], zone="north")
-    play.ask_for(6.0)
+    play.run_traffic(6.0)
     copy = play.rig.rows.copy()
     play.rig.rows.put("configuration", "drained/north", b"{}")
-    play.ask_for(1.0)
+    play.run_traffic(1.0)
     before = len(play.endpoints[0].requests)
     play.rig.rows.go_back(copy)
-    play.ask_for(12.0)
+    play.run_traffic(12.0)
     assert len(play.endpoints[0].requests) > before
 
 
 def test_router_that_started_in_the_lost_seconds_is_a_member_after_the_return():
-    play = ReturnPlay(gateways=2)
-    play.ask_for(6.0)
+    play = RollbackSimulation(gateways=2)
+    play.run_traffic(6.0)
     play.rig.gateway()
-    play.ask_for(2.0)
+    play.run_traffic(2.0)
     play.go_back(5.0)
-    play.ask_for(3.0)
+    play.run_traffic(3.0)
     rows = play.rig.rows.table(MEMBERS_TABLE, "")
     addresses = {decode_member(row.value).address for row in rows}
     assert addresses == {gateway.peers_address for gateway in play.rig.gateways}
 
 
 def test_return_is_told_once_by_each_router():
-    play = ReturnPlay(gateways=3)
-    play.ask_for(6.0)
+    play = RollbackSimulation(gateways=3)
+    play.run_traffic(6.0)
     play.go_back(5.0)
-    play.ask_for(3.0)
+    play.run_traffic(3.0)
     for log in play.rig.logs:
         assert [line["era"] for line in log.of("store.returned")] == [1]
 
@@ -146,12 +146,12 @@
 @pytest.mark.parametrize("age_s", [0.5, 2.0, 5.0, 10.0])
 def test_calls_to_the_store_over_a_return_stay_few(age_s):
     """A feed was refused and asked again at once, hundreds of times a second."""
-    play = ReturnPlay(gateways=3)
-    play.ask_for(12.0)
+    play = RollbackSimulation(gateways=3)
+    play.run_traffic(12.0)
     usual = play.rig.rows.calls
-    play.ask_for(5.0)
+    play.run_traffic(5.0)
     usual = play.rig.rows.calls - usual
     play.go_back(age_s)
     before = play.rig.rows.calls
-    play.ask_for(5.0)
+    play.run_traffic(5.0)
     assert play.rig.rows.calls - before <= 2 * usual + 10 * len(play.rig.gateways)
--- a/turnward/gateway/tests/test_tokens_over_returns.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -19,17 +19,17 @@
 import pytest
 
 from turnward.gateway import Repeat, Workspace
-from turnward.gateway.account_news import AccountNews
+from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.restoring import AccountRestorer
-from turnward.gateway.tests.return_plays import ReturnPlay
 from turnward.gateway.tests.rig import ENGINE_POOL, KEY, stream
+from turnward.gateway.tests.rollback_simulation import RollbackSimulation
 
 PROMPT_TOKENS = 2_000
 #: Tokens of a run: its prompt, and four events.
 RUN_TOKENS = PROMPT_TOKENS + 4 * 5
 
 
-class TokenPlay(ReturnPlay):
+class TokenPlay(RollbackSimulation):
     """Gateways that share one workspace's tokens."""
 
     def __init__(self, gateways: int, prepaid: int):
@@ -45,10 +45,10 @@
         self.prepaid = prepaid
         self._down: list = []
 
-    def ask_for(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
+    def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
         """Ask for runs for a while."""
         headers = self.rig.prompt(PROMPT_TOKENS, 20)
-        super().ask_for(seconds, pause_s, method=b"POST", body=b"", headers=headers, **fields)
+        super().run_traffic(seconds, pause_s, method=b"POST", body=b"", headers=headers, **fields)
 
     @property
     def used_tokens(self) -> int:
@@ -56,7 +56,7 @@
         return RUN_TOKENS * sum(len(endpoint.requests) for endpoint in self.endpoints)
 
     def up(self) -> list[int]:
-        """See ``ReturnPlay.up``; of several processes of a machine the last one runs."""
+        """See ``RollbackSimulation.up``; of several processes of a machine the last one runs."""
         last = {machine: number for number, machine in enumerate(self.rig.machines)}
         return [number for machine, number in last.items() if machine not in self._down]
 
@@ -77,12 +77,12 @@
 
 @pytest.mark.parametrize("age_s", [1.0, 3.0, 5.0, 8.0])
 @pytest.mark.parametrize("gateways", [2, 7])
-def test_limit_is_kept_over_a_return(gateways, age_s):
+def test_limit_holds_after_a_rollback(gateways, age_s):
     play = TokenPlay(gateways, prepaid=250_000)
     play.rig.network.advance(1.0)
-    play.ask_for(9.0, 1 / 8)
+    play.run_traffic(9.0, 1 / 8)
     play.go_back(age_s)
-    play.ask_for(12.0)
+    play.run_traffic(12.0)
     assert play.used_tokens <= play.prepaid
 
 
@@ -92,7 +92,7 @@
     play = TokenPlay(draw.choice((2, 4, 7)), prepaid=draw.choice((150_000, 250_000, 600_000)))
     play.rig.network.advance(draw.uniform(0.2, 2.0))
     for _ in range(draw.randint(2, 4)):
-        play.ask_for(draw.uniform(0.5, 6.0), 1 / draw.uniform(4.0, 25.0))
+        play.run_traffic(draw.uniform(0.5, 6.0), 1 / draw.uniform(4.0, 25.0))
         drawn = draw.random()
         if drawn < 0.5:
             if draw.random() < 0.4:
@@ -109,23 +109,23 @@
             play.rig.rows.faults.late_share = 0.2
             play.rig.rows.faults.lost_share = 0.2
     play.rig.rows.faults.late_share = play.rig.rows.faults.lost_share = 0.0
-    play.ask_for(10.0, 0.05)
+    play.run_traffic(10.0, 0.05)
     return play
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_limit_is_kept_over_returns_deaths_and_cuts(seed):
+def test_limit_holds_after_rollbacks_crashes_and_partitions(seed):
     play = random_play(seed)
     assert play.used_tokens <= play.prepaid
 
 
 @pytest.mark.parametrize("gateways", [2, 7])
-def test_callers_are_served_over_a_return(gateways):
+def test_callers_are_served_during_a_rollback(gateways):
     play = TokenPlay(gateways, prepaid=5_000_000)
     play.rig.network.advance(1.0)
-    play.ask_for(8.0)
+    play.run_traffic(8.0)
     play.go_back(6.0)
-    play.ask_for(6.0)
+    play.run_traffic(6.0)
     assert set(play.statuses()) == {200}
 
 
@@ -133,35 +133,35 @@
     """Let a router die right after it took tokens that the store then loses."""
     play = TokenPlay(2, prepaid=250_000)
     play.rig.network.advance(1.0)
-    play.ask_for(9.0, 1 / 8)
+    play.run_traffic(9.0, 1 / 8)
     taken = len(play.rig.logs[0].of("prepaid.taken"))
     while len(play.rig.logs[0].of("prepaid.taken")) == taken:
-        play.ask_for(0.05, 0.05)
+        play.run_traffic(0.05, 0.05)
     play.rig.network.advance(0.05)
     play.restart(0, after_s=60.0)
     play.go_back(8.0)
-    play.ask_for(12.0)
+    play.run_traffic(12.0)
     return play
 
 
-def test_tokens_that_nobody_claims_stay_counted():
+def test_unclaimed_tokens_stay_counted():
     """A router that died with the lost seconds had told the others what its row said."""
     play = unclaimed_play()
     assert play.used_tokens <= play.prepaid
     assert [line["unattributed"] > 0 for line in play.rig.logs[1].of("prepaid.restored")] == [True]
 
 
-def test_tokens_that_nobody_claims_are_used_twice_where_nobody_was_told(monkeypatch):
-    monkeypatch.setattr(AccountNews, "take_in", lambda *_: None)
+def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
+    monkeypatch.setattr(AccountUpdates, "take_in", lambda *_: None)
     # Between two looks at the row the other router can't know it itself.
-    monkeypatch.setattr(AccountNews, "note_seen", lambda *_: None)
-    monkeypatch.setattr(AccountNews, "note_written", lambda *_: None)
+    monkeypatch.setattr(AccountUpdates, "note_seen", lambda *_: None)
+    monkeypatch.setattr(AccountUpdates, "note_written", lambda *_: None)
     play = unclaimed_play()
     assert play.used_tokens > play.prepaid
 
 
 @pytest.mark.parametrize("seed", [4, 5, 6, 7])
-def test_router_that_takes_before_it_claims_is_caught(seed, monkeypatch):
+def test_router_that_takes_before_claiming_overspends(seed, monkeypatch):
     monkeypatch.setattr(AccountRestorer, "is_current", lambda *_: True)
     play = random_play(seed)
     assert play.used_tokens > play.prepaid
--- a/turnward/ledger/__init__.py
+++ b/turnward/ledger/__init__.py
@@ -4,8 +4,8 @@
 from turnward.ledger.demand import DemandMeter
 from turnward.ledger.ledger import (
     BudgetView,
-    GrantAsk,
     GrantLedger,
+    GrantRequest,
     RefusalReason,
     Reservation,
     SizingRule,
@@ -14,7 +14,7 @@
 __all__ = [
     "BudgetView",
     "DemandMeter",
-    "GrantAsk",
+    "GrantRequest",
     "GrantLedger",
     "RefusalReason",
     "Reservation",
--- a/turnward/ledger/demand.py
+++ b/turnward/ledger/demand.py
@@ -15,15 +15,15 @@
 
     Parameters
     ----------
-    memory_s : float
+    time_constant_s : float
         Time constant in seconds.
-    weighs_start : bool
+    bias_corrected : bool
         Take the rate over the time since the first demand, not as though there
         had been none before it. A new router then knows its rate at once.
 
     Examples
     --------
-    >>> young, old = DemandMeter(10.0, weighs_start=True), DemandMeter(10.0)
+    >>> young, old = DemandMeter(10.0, bias_corrected=True), DemandMeter(10.0)
     >>> for meter in (young, old):
     ...     for second in range(3):
     ...         meter.add(100, float(second))
@@ -33,9 +33,9 @@
 
     __slots__ = ("_first_s", "_level_tokens", "_memory_s", "_seen_s", "_weighs_start")
 
-    def __init__(self, memory_s: float = 10.0, weighs_start: bool = False):
-        self._memory_s = memory_s
-        self._weighs_start = weighs_start
+    def __init__(self, time_constant_s: float = 10.0, bias_corrected: bool = False):
+        self._memory_s = time_constant_s
+        self._weighs_start = bias_corrected
         self._first_s: float | None = None
         self._level_tokens = 0.0
         self._seen_s = 0.0
--- a/turnward/ledger/ledger.py
+++ b/turnward/ledger/ledger.py
@@ -8,11 +8,18 @@
 
 from turnward.ledger.demand import DemandMeter
 
-__all__ = ["BudgetView", "GrantAsk", "GrantLedger", "RefusalReason", "Reservation", "SizingRule"]
+__all__ = [
+    "BudgetView",
+    "GrantRequest",
+    "GrantLedger",
+    "RefusalReason",
+    "Reservation",
+    "SizingRule",
+]
 
 
 #: A budget is near its end when less than so many times what is free here is ungranted.
-NEAR_END_FACTOR = 8
+NEAR_LIMIT_FACTOR = 8
 
 
 class RefusalReason(StrEnum):
@@ -38,19 +45,19 @@
     spent_tokens: int
 
 
-class GrantAsk(msgspec.Struct, frozen=True):
+class GrantRequest(msgspec.Struct, frozen=True):
     """A wish for more tokens.
 
     Attributes
     ----------
-    least_tokens : int
+    required_tokens : int
         What waiting requests need; less is of no use. 0 when nothing waits.
-    most_tokens : int
+    desired_tokens : int
         What demand over the horizon calls for.
     """
 
-    least_tokens: int
-    most_tokens: int
+    required_tokens: int
+    desired_tokens: int
 
 
 class SizingRule(msgspec.Struct, frozen=True):
@@ -68,14 +75,14 @@
     floor_share : float
         Part of the tokens within reach that is held even without demand, so
         that a router cut off from the table serves on.
-    weighs_start : bool
+    bias_corrected : bool
         See ``DemandMeter``.
-    keep_s : float
+    idle_return_s : float
         Idle time after which spare tokens are returned.
-    near_view_s, far_view_s : float
+    near_limit_refresh_s, default_refresh_s : float
         Age at which a held budget's row is read again, near its end and
         elsewhere.
-    forget_s : float
+    evict_after_s : float
         Time after which a budget that holds nothing is dropped.
     """
 
@@ -83,11 +90,11 @@
     minimum_tokens: int = 2_000
     share: float = 0.25
     floor_share: float = 0.0
-    weighs_start: bool = False
-    keep_s: float = 5.0
-    near_view_s: float = 1.0
-    far_view_s: float = 30.0
-    forget_s: float = 60.0
+    bias_corrected: bool = False
+    idle_return_s: float = 5.0
+    near_limit_refresh_s: float = 1.0
+    default_refresh_s: float = 30.0
+    evict_after_s: float = 60.0
 
 
 class _Account:
@@ -107,7 +114,7 @@
         "wanted_tokens",
     )
 
-    def __init__(self, weighs_start: bool):
+    def __init__(self, bias_corrected: bool):
         self.ahead = True
         self.granted_tokens = 0
         self.settled_tokens = 0
@@ -116,7 +123,7 @@
         self.refused_tokens = 0
         self.asked_s = 0.0
         self.idle_since_s = 0.0
-        self.demand = DemandMeter(weighs_start=weighs_start)
+        self.demand = DemandMeter(bias_corrected=bias_corrected)
         self.view: BudgetView | None = None
         self.viewed_s = 0.0
 
@@ -167,7 +174,7 @@
         account = self._accounts.get(budget)
         return account.demand.rate_tokens_per_s(now_s) if account else 0.0
 
-    def set_ahead(self, budget: str, ahead: bool) -> None:
+    def set_prefetch(self, budget: str, ahead: bool) -> None:
         """Say whether tokens of a budget are held ahead of demand; they are by default."""
         self._account(budget).ahead = ahead
 
@@ -242,37 +249,37 @@
         account.view = view
         account.viewed_s = now_s
 
-    def plan_views(self, now_s: float) -> list[str]:
+    def plan_refreshes(self, now_s: float) -> list[str]:
         """Return the held budgets whose row is to be read again.
 
         A budget near its end is looked at often, so that tokens held here go
         back when others run dry; all others seldom.
         """
-        return [budget for budget in self._accounts if self.needs_view(budget, now_s)]
+        return [budget for budget in self._accounts if self.needs_refresh(budget, now_s)]
 
-    def needs_view(self, budget: str, now_s: float) -> bool:
-        """Tell whether one budget's row is to be read again; see ``plan_views``."""
+    def needs_refresh(self, budget: str, now_s: float) -> bool:
+        """Tell whether one budget's row is to be read again; see ``plan_refreshes``."""
         account = self._accounts.get(budget)
         if account is None or account.free_tokens <= 0 or account.view is None:
             return False
-        near = account.view.ungranted_tokens < NEAR_END_FACTOR * account.free_tokens
-        limit_s = self._rule.near_view_s if near else self._rule.far_view_s
+        near = account.view.ungranted_tokens < NEAR_LIMIT_FACTOR * account.free_tokens
+        limit_s = self._rule.near_limit_refresh_s if near else self._rule.default_refresh_s
         return now_s - account.viewed_s >= limit_s
 
-    def clear_want(self, budget: str) -> None:
+    def clear_wanted(self, budget: str) -> None:
         """Forget what waiting requests wanted; they ask again if they still wait."""
         self._account(budget).wanted_tokens = 0
 
-    def plan_takes(self, now_s: float) -> dict[str, GrantAsk]:
+    def plan_grants(self, now_s: float) -> dict[str, GrantRequest]:
         """Return the budgets that need more tokens, and how many.
 
         Only budgets drawn on since the last plan are looked at.
         """
         touched, self._touched = self._touched, set()
-        asks = {budget: self.plan_take(budget, now_s) for budget in touched}
+        asks = {budget: self.plan_grant(budget, now_s) for budget in touched}
         return {budget: ask for budget, ask in asks.items() if ask is not None}
 
-    def plan_take(self, budget: str, now_s: float) -> GrantAsk | None:
+    def plan_grant(self, budget: str, now_s: float) -> GrantRequest | None:
         """Return how many more tokens one budget needs, or None."""
         account = self._accounts.get(budget)
         if account is None:
@@ -282,13 +289,13 @@
         if shortfall == 0 and account.free_tokens >= target / 2:
             return None
         most = max(shortfall, int(target) - account.free_tokens)
-        return GrantAsk(shortfall, most) if most > 0 else None
+        return GrantRequest(shortfall, most) if most > 0 else None
 
-    def forget_idle(self, now_s: float) -> None:
+    def evict_idle(self, now_s: float) -> None:
         """Drop budgets that hold nothing and were not asked for lately."""
         for budget, account in list(self._accounts.items()):
             holds = account.granted_tokens - account.settled_tokens + account.reserved_tokens
-            rested = now_s - account.asked_s >= self._rule.forget_s
+            rested = now_s - account.asked_s >= self._rule.evict_after_s
             if not holds and rested and budget not in self._touched:
                 del self._accounts[budget]
 
@@ -304,7 +311,7 @@
             return 0
         useless = self._recalled(account) or self._too_little(account)
         keep = 0 if useless else int(self._target_tokens(account, now_s) * 2)
-        idle = now_s - account.idle_since_s >= self._rule.keep_s
+        idle = now_s - account.idle_since_s >= self._rule.idle_return_s
         at_once = useless or self._is_scarce(account)
         if useless:
             account.refused_tokens = 0
@@ -354,5 +361,5 @@
     def _account(self, budget: str) -> _Account:
         account = self._accounts.get(budget)
         if account is None:
-            account = self._accounts[budget] = _Account(self._rule.weighs_start)
+            account = self._accounts[budget] = _Account(self._rule.bias_corrected)
         return account
--- a/turnward/ledger/tests/test_ledger.py
+++ b/turnward/ledger/tests/test_ledger.py
@@ -16,7 +16,7 @@
 
 @settings(max_examples=100, derandomize=True, database=None, deadline=None)
 @given(steps=STEPS)
-def test_ledger_agrees_with_a_naive_account(steps):
+def test_ledger_matches_a_reference_model(steps):
     ledger, granted, settled, open_reservations = GrantLedger(SizingRule()), 0, 0, []
     for kind, tokens in steps:
         held = sum(reservation.tokens for reservation in open_reservations)
@@ -56,14 +56,14 @@
         (None, RefusalReason.UNREACHABLE),
     ],
 )
-def test_refusal_tells_an_empty_budget_from_an_unreachable_one(view, reason):
+def test_refusal_distinguishes_exhausted_from_unreachable(view, reason):
     ledger = GrantLedger(SizingRule())
     if view is not None:
         ledger.observe("b", view, 1.0)
     assert ledger.reserve("b", 10, 1.0).error is reason
 
 
-def test_lowered_limit_recalls_what_is_free():
+def test_lowered_limit_returns_free_tokens():
     ledger = GrantLedger(SizingRule())
     ledger.add("b", 1_000)
     ledger.reserve("b", 300, 1.0)
@@ -73,18 +73,18 @@
 
 @pytest.mark.parametrize("outage_s", [0, 30, 60])
 @pytest.mark.parametrize(("skew", "shift"), [(0.7, False), (0.7, True)])
-def test_grants_refuse_falsely_far_less_than_even_split_near_the_end(outage_s, skew, shift):
+def test_grants_cause_fewer_false_refusals_than_even_split_near_the_limit(outage_s, skew, shift):
     scenario = BudgetScenario(fill=0.9, skew=skew, shift=shift, outage_s=outage_s)
     ours, naive = replay_budget(scenario, "grants"), replay_budget(scenario, "even_split")
     assert ours.overspent_tokens == naive.overspent_tokens == 0
     assert ours.false_refusals < naive.false_refusals / 3
 
 
-def test_idle_budget_is_forgotten_and_a_held_one_is_not():
+def test_idle_budget_is_evicted_and_a_held_one_is_not():
     ledger = GrantLedger(SizingRule())
     ledger.reserve("idle", 5, 1.0)
     ledger.reserve("held", 5, 1.0)
     ledger.add("held", 5)
-    ledger.plan_takes(2.0)
-    ledger.forget_idle(100.0)
+    ledger.plan_grants(2.0)
+    ledger.evict_idle(100.0)
     assert ledger.budgets() == ["held"]
--- a/turnward/replay/budgets.py
+++ b/turnward/replay/budgets.py
@@ -120,7 +120,7 @@
         self.store = GrantStore(self.table, name, rule.share)
 
     def take(self, now_s: float) -> None:
-        asks = self.ledger.plan_takes(now_s)
+        asks = self.ledger.plan_grants(now_s)
         if not asks:
             return
         views = run_now(self.store.read_views(list(asks)))
@@ -128,10 +128,10 @@
             self.ledger.observe(budget, view, now_s)
         for budget, tokens in run_now(self.store.apply(self.store.plan_take(asks, views))).items():
             self.ledger.add(budget, tokens)
-        self.ledger.clear_want(_BUDGET)
+        self.ledger.clear_wanted(_BUDGET)
 
     def look_again(self, now_s: float) -> None:
-        budgets = self.ledger.plan_views(now_s)
+        budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
             for budget, view in run_now(self.store.read_views(budgets)).items():
                 self.ledger.observe(budget, view, now_s)
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -69,7 +69,7 @@
 
     async def _take(self) -> None:
         now_s = self._context.now_s()
-        asks = self.ledger.plan_takes(now_s)
+        asks = self.ledger.plan_grants(now_s)
         if not asks:
             return
         views = await self.store.read_views(list(asks))
@@ -77,7 +77,7 @@
             self.ledger.observe(budget, view, now_s)
         taken = await self.store.apply(self.store.plan_take(asks, views))
         for budget in asks:
-            self.ledger.clear_want(budget)
+            self.ledger.clear_wanted(budget)
         for budget, tokens in taken.items():
             if tokens:
                 self.ledger.add(budget, tokens)
@@ -90,11 +90,11 @@
         await self._look_again()
         await self._give_back(self.ledger.plan_returns(now_s))
         await self._fold()
-        self.ledger.forget_idle(now_s)
+        self.ledger.evict_idle(now_s)
 
     async def _look_again(self) -> None:
         now_s = self._context.now_s()
-        budgets = self.ledger.plan_views(now_s)
+        budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
             for budget, view in (await self.store.read_views(budgets)).items():
                 self.ledger.observe(budget, view, now_s)
