--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -154,7 +154,7 @@
 
     number: int
     stamp_s: float
-    spend_bounds: dict[str, SpendBound] = msgspec.field(name="promises")
+    promises: dict[str, SpendBound] = msgspec.field(name="promises")
     era: int | None = None
 
 
@@ -258,9 +258,9 @@
         """
         now_s = self._reactor.seconds()
         bounds = [
-            sent.report.spend_bounds[workspace].max_spent_tokens(now_s - sent.sent_s)
+            sent.report.promises[workspace].max_spent_tokens(now_s - sent.sent_s)
             for sent in self._sent
-            if workspace in sent.report.spend_bounds
+            if workspace in sent.report.promises
         ]
         return min(bounds) - committed_tokens if bounds else None
 
@@ -350,8 +350,8 @@
             await self._read_back()
         self._number += 1
         self._last_sent_s = self._reactor.seconds()
-        spend_bounds, era = self._make_promises(), self._store.eras.known
-        report = SpendReport(self._number, self._store.time_floor_s(), spend_bounds, era)
+        promises, era = self._make_promises(), self._store.eras.known
+        report = SpendReport(self._number, self._store.time_floor_s(), promises, era)
         sent = _SentReport(report, self._last_sent_s)
         self._sent.append(sent)
         change = RowChange(self._key, msgspec.json.encode(report), self._version)
@@ -399,5 +399,5 @@
     elapsed_s = now_s - report.stamp_s
     return {
         workspace: promise.max_spent_tokens(elapsed_s)
-        for workspace, promise in report.spend_bounds.items()
+        for workspace, promise in report.promises.items()
     }
