--- a/turnward/admission/spell.py
+++ b/turnward/admission/overload.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Callable
 
-__all__ = ["OverloadSpell"]
+__all__ = ["OverloadPeriod"]
 
 #: Share of the time for which it has lasted that a spell is taken to last on. Told to come back as
 #: soon as the queue would be short if nobody else came, callers were refused again and again. Worth
@@ -16,7 +16,7 @@
 _ENDS_AFTER_S = 1.0
 
 
-class OverloadSpell:
+class OverloadPeriod:
     """A time in which requests are refused again and again.
 
     Nobody knows how long it will last; one that has lasted for some time is likely to last for
@@ -30,7 +30,7 @@
     Examples
     --------
     >>> moments_s = iter((10.0, 10.8, 11.6, 30.0))
-    >>> spell = OverloadSpell(lambda: next(moments_s))
+    >>> spell = OverloadPeriod(lambda: next(moments_s))
     >>> [round(spell.note_refused(), 2) for _ in range(4)]
     [0.0, 0.4, 0.8, 0.0]
     """
--- a/turnward/admission/tests/test_rule.py
+++ b/turnward/admission/tests/test_rule.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from turnward.admission import AdmissionRule, OverloadSpell
+from turnward.admission import AdmissionRule, OverloadPeriod
 
 RULE = AdmissionRule()
 TARGET_S = 0.8
@@ -19,12 +19,12 @@
 
 
 @given(target_s=st.floats(0.001, 100.0), rank=st.integers(0, 12))
-def test_request_is_never_refused_where_nothing_is_queued(target_s, rank):
+def test_request_is_never_refused_when_the_queue_is_empty(target_s, rank):
     assert RULE.excess_ms(0.0, target_s, rank) == 0.0
 
 
 @given(queue_ms=TIMES_MS, more_ms=TIMES_MS, rank=st.integers(0, 11))
-def test_more_queue_and_less_urgency_never_let_in_what_was_refused(queue_ms, more_ms, rank):
+def test_longer_queue_or_lower_urgency_never_admits_a_refused_request(queue_ms, more_ms, rank):
     before = RULE.excess_ms(queue_ms, TARGET_S, rank)
     assert RULE.excess_ms(queue_ms + more_ms, TARGET_S, rank) >= before
     assert RULE.excess_ms(queue_ms, TARGET_S, rank + 1) >= before
@@ -34,7 +34,7 @@
     assert [bound_ms(rank) for rank in range(4)] == pytest.approx([560.0, 400.0, 280.0, 280.0])
 
 
-def test_without_shares_everything_is_let_in():
+def test_without_shares_every_request_is_admitted():
     assert AdmissionRule(shares=()).excess_ms(1e9, TARGET_S, 0) == 0.0
 
 
@@ -46,9 +46,9 @@
         return self.now_s
 
 
-def test_spell_lasts_on_for_half_of_its_age_up_to_a_limit():
+def test_expected_rest_of_overload_is_half_its_age_up_to_a_limit():
     clock = Clock()
-    spell = OverloadSpell(clock)
+    spell = OverloadPeriod(clock)
     for _ in range(40):
         told_s = spell.note_refused()
         assert told_s == pytest.approx(min(4.0, (clock.now_s - 100.0) / 2))
@@ -56,9 +56,9 @@
     assert told_s == 4.0
 
 
-def test_pause_without_refusals_ends_a_spell():
+def test_pause_without_refusals_ends_an_overload_period():
     clock = Clock()
-    spell = OverloadSpell(clock)
+    spell = OverloadPeriod(clock)
     spell.note_refused()
     clock.now_s += 0.9
     assert spell.note_refused() > 0.0
--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -241,7 +241,7 @@
     def _note_pace(self, count: int) -> None:
         now_s = self._owner.forwarder.reactor.seconds()
         if self._event_s is not None:
-            self.record.pace.note((now_s - self._event_s) * 1_000 / count, now_s)
+            self.record.gap_tracker.note((now_s - self._event_s) * 1_000 / count, now_s)
         self._event_s = now_s
 
     def _declared_length(self) -> int | None:
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -20,8 +20,8 @@
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_record import EndpointRecord
 from turnward.gateway.endpoint_word import read_word
+from turnward.gateway.engine_speed import EventGaps, SpeedClass, next_speed_class, usual_gaps
 from turnward.gateway.outcomes import Reason
-from turnward.gateway.pace import ObservedPace, PaceClass, next_class, usual_pace
 from turnward.gateway.peer_book import EndpointLoad
 from turnward.gateway.prompts import Prompt
 from turnward.gateway.rate_limits import RateLimits
@@ -84,7 +84,7 @@
         ones go there.
     """
 
-    homes: int = 1
+    preferred_endpoints: int = 1
     reread_weight: float = 6.0
     zone_cost_ms: float = 2.0
     rests: bool = True
@@ -188,13 +188,13 @@
         self._entries_known = False
         self._left: OrderedDict[str, _LeftEndpoint] = OrderedDict()
         #: Called with record, its pace and the usual one when a pace class has changed.
-        self.on_pace_class: Callable[[EndpointRecord, ObservedPace, ObservedPace], None]
-        self.on_pace_class = _told_nobody
+        self.on_speed_class: Callable[[EndpointRecord, EventGaps, EventGaps], None]
+        self.on_speed_class = _told_nobody
         self._dialect = dialect or Dialect()
         #: Called with record, hold and the answer's headers when an answer says that its endpoint
         #: is to be sent nothing.
-        self.on_word: Callable[[EndpointRecord, Hold, HeaderList], None]
-        self.on_word = _told_nobody
+        self.on_feedback: Callable[[EndpointRecord, Hold, HeaderList], None]
+        self.on_feedback = _told_nobody
         #: Called with record, limit and the answer's headers when an answer names another rate
         #: limit, or none (None) any more.
         self.on_rate_limit: Callable[[EndpointRecord, float | None, HeaderList], None]
@@ -212,8 +212,8 @@
         for record in list(self._records.values()):
             entry = entries.get(record.endpoint_id)
             if entry is None and record.incarnation in spared:
-                record.lapse(self._clock())
-            elif entry is None or not record.is_of(entry):
+                record.mark_lapsed(self._clock())
+            elif entry is None or not record.matches_entry(entry):
                 self._forget(record)
             else:
                 record.lapsed_s = None
@@ -251,7 +251,7 @@
             spared.update(
                 record.incarnation
                 for record in missing
-                if (many and record.lapsed_s is None) or record.may_be_back(now_s)
+                if (many and record.lapsed_s is None) or record.may_return(now_s)
             )
         return spared
 
@@ -259,7 +259,7 @@
         """Forget endpoints whose entries did not come back in time."""
         now_s = self._clock()
         for record in list(self._records.values()):
-            if record.lapsed_s is not None and not record.may_be_back(now_s):
+            if record.lapsed_s is not None and not record.may_return(now_s):
                 self._forget(record)
                 self._by_pool[record.entry.pool].remove(record)
 
@@ -294,7 +294,7 @@
         spread = self._draw.uniform(1.0, _REST_SPREAD)
         news = record.availability.heed(word, self._clock(), spread)
         if news is not None:
-            self.on_word(record, news, headers)
+            self.on_feedback(record, news, headers)
         if word.limit_per_s is None or self._limits is None:
             return
         if self._limits.name(record.incarnation, word.limit_per_s):
@@ -345,7 +345,7 @@
         """Return the record of one start of an endpoint."""
         return self._records.get(incarnation)
 
-    def standing(self) -> set[str]:
+    def incarnations_with_entry(self) -> set[str]:
         """Return the incarnations of the endpoints that have an entry."""
         return {record.incarnation for record in self._records.values() if record.lapsed_s is None}
 
@@ -354,17 +354,17 @@
         now_s = self._clock()
         return [_load_of(record, now_s) for record in self._records.values() if record.in_flight]
 
-    def has_other(self, pool: str, without: set[str]) -> bool:
+    def has_other(self, pool: str, excluded: set[str]) -> bool:
         """Tell whether an endpoint takes work besides those in ``without``."""
-        return bool(self._candidates(pool, without))
+        return bool(self._candidates(pool, excluded))
 
-    def _candidates(self, pool: str, without: set[str]) -> list[EndpointRecord]:
+    def _candidates(self, pool: str, excluded: set[str]) -> list[EndpointRecord]:
         now_s = self._clock()
         found = [
             record
             for record in self._by_pool.get(pool, ())
             if record.availability.hold(now_s) is None
-            and record.incarnation not in without
+            and record.incarnation not in excluded
             and self._stands(record, now_s)
             and self._is_within_limit(record)
         ]
@@ -377,7 +377,7 @@
         """Tell whether an endpoint has an entry and its zone gets work."""
         if record.entry.zone in self._drained:
             return False
-        return record.lapsed_s is None or record.may_be_back(now_s)
+        return record.lapsed_s is None or record.may_return(now_s)
 
     def _is_within_limit(self, record: EndpointRecord) -> bool:
         """Tell whether a rate limit that the endpoint names lets this router send a request."""
@@ -387,7 +387,7 @@
 
     def _is_warm_enough(self, record: EndpointRecord, traits: WarmUpTraits) -> bool:
         """Tell whether an endpoint that may be cold bears a request of this router now."""
-        if record.warm_up.settled(self._shares.members):
+        if record.warm_up.ramp_finished(self._shares.members):
             return True
         allowance = self._shares.allowance(record.endpoint_id, traits.requests_per_s)
         return record.warm_up.permits(allowance)
@@ -428,7 +428,7 @@
         pool: str,
         prompt: Prompt,
         traits: EngineTraits | None,
-        without: set[str],
+        excluded: set[str],
         pause_target_s: float | None = None,
     ) -> "EndpointChoice | None":
         """Return the endpoint with the least cost, or None when none takes work.
@@ -437,7 +437,7 @@
         leaves the engines' speeds out of account.
         """
         now_s = self._clock()
-        candidates = self._candidates(pool, without)
+        candidates = self._candidates(pool, excluded)
         trusted = [record for record in candidates if self._is_trusted(record, now_s)]
         candidates = trusted or candidates
         if not candidates:
@@ -469,11 +469,13 @@
         """Return the cost of each candidate engine with its record."""
         if self._rule.weighs_pace and pause_target_s is not None:
             self._classify(pool, loads, now_s, pause_target_s * 1_000)
-        homes = _homes(prompt, _fit_to_keep(prompt, candidates), self._rule.homes)
+        preferred_endpoints = _homes(
+            prompt, _fit_to_keep(prompt, candidates), self._rule.preferred_endpoints
+        )
         return [
             (
-                self._engine_cost_ms(record, prompt, loads, homes, now_s)
-                + _pace_cost_ms(prompt, record.pace_class),
+                self._engine_cost_ms(record, prompt, loads, preferred_endpoints, now_s)
+                + _pace_cost_ms(prompt, record.speed_class),
                 record,
             )
             for record in candidates
@@ -486,20 +488,20 @@
         self._classified_s[pool] = now_s
         records = self._by_pool[pool]
         paces = [self._observed_pace(record, loads, now_s) for record in records]
-        usual = usual_pace(paces)
-        for record, pace in zip(records, paces, strict=True):
-            found = next_class(record.pace_class, pace, usual, pause_target_ms)
-            if found is not record.pace_class:
-                record.pace_class = found
-                self.on_pace_class(record, pace, usual)
+        usual = usual_gaps(paces)
+        for record, gap_tracker in zip(records, paces, strict=True):
+            found = next_speed_class(record.speed_class, gap_tracker, usual, pause_target_ms)
+            if found is not record.speed_class:
+                record.speed_class = found
+                self.on_speed_class(record, gap_tracker, usual)
 
     @staticmethod
-    def _observed_pace(record: EndpointRecord, loads, now_s: float) -> ObservedPace:
-        own = record.pace.observed(now_s)
+    def _observed_pace(record: EndpointRecord, loads, now_s: float) -> EventGaps:
+        own = record.gap_tracker.observed(now_s)
         load = loads.get(record.incarnation)
         if load is None:
             return own
-        return ObservedPace(
+        return EventGaps(
             max(own.quiet_gap_ms, load.quiet_gap_ms), max(own.held_up_gap_ms, load.held_up_gap_ms)
         )
 
@@ -513,7 +515,9 @@
         cost_ms = running + waiting * _COST_OF_PLACE_MS / max(1, record.entry.slots)
         return cost_ms + self._zone_cost_ms(record)
 
-    def _engine_cost_ms(self, record, prompt: Prompt, loads, homes, now_s: float) -> float:
+    def _engine_cost_ms(
+        self, record, prompt: Prompt, loads, preferred_endpoints, now_s: float
+    ) -> float:
         load = loads.get(record.incarnation)
         running = record.in_flight
         backlog = record.prefill_tokens
@@ -521,7 +525,7 @@
             running += load.requests
             backlog += load.prefill_tokens
         kept = record.kept_tokens(prompt, now_s)
-        if record.endpoint_id in homes:
+        if record.endpoint_id in preferred_endpoints:
             kept = max(kept, int(_HOME_TRUST * prompt.shared_tokens))
         unread = max(0, prompt.tokens - kept)
         reread = max(0, prompt.shared_tokens - kept)
@@ -535,13 +539,13 @@
 
 
 def _load_of(record: EndpointRecord, now_s: float) -> EndpointLoad:
-    pace = record.pace.observed(now_s)
+    gap_tracker = record.gap_tracker.observed(now_s)
     return EndpointLoad(
         record.incarnation,
         record.in_flight,
         record.prefill_tokens,
-        round(pace.quiet_gap_ms, 1),
-        round(pace.held_up_gap_ms, 1),
+        round(gap_tracker.quiet_gap_ms, 1),
+        round(gap_tracker.held_up_gap_ms, 1),
     )
 
 
@@ -557,17 +561,17 @@
     """Return the candidates among which the agreed home of a prompt is chosen."""
     if prompt.tokens < _LONG_PROMPT_TOKENS:
         return candidates
-    usual = [record for record in candidates if record.pace_class is PaceClass.USUAL]
+    usual = [record for record in candidates if record.speed_class is SpeedClass.USUAL]
     return usual or candidates
 
 
-def _pace_cost_ms(prompt: Prompt, pace_class: PaceClass) -> float:
+def _pace_cost_ms(prompt: Prompt, speed_class: SpeedClass) -> float:
     """Return what an engine's speed adds to the cost of a prompt there."""
-    if pace_class is PaceClass.CRAWLING:
+    if speed_class is SpeedClass.CRAWLING:
         return _COST_OF_CRAWLING_MS
     if prompt.tokens >= _LONG_PROMPT_TOKENS:
-        return _COST_OF_LONG_ON_SLOWER_MS if pace_class is PaceClass.SLOWER else 0.0
-    return _COST_OF_SHORT_BESIDE_LONG_MS if pace_class is PaceClass.USUAL else 0.0
+        return _COST_OF_LONG_ON_SLOWER_MS if speed_class is SpeedClass.SLOWER else 0.0
+    return _COST_OF_SHORT_BESIDE_LONG_MS if speed_class is SpeedClass.USUAL else 0.0
 
 
 def _told_nobody(record: EndpointRecord, *what) -> None:
@@ -578,7 +582,7 @@
     """Return the agreed homes of the last shared part of a prompt."""
     if len(prompt.parts) < 2:
         return set()
-    key = str(prompt.parts[-2].path)
+    key = str(prompt.parts[-2].prefix_hash)
     names = [record.endpoint_id for record in candidates]
     names.sort(key=lambda name: rendezvous_weight(key, name), reverse=True)
     return set(names[:count])
--- a/turnward/gateway/endpoint_news.py
+++ b/turnward/gateway/endpoint_news.py
@@ -7,7 +7,7 @@
 from turnward.gateway.choice import EndpointBook
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.pace import ObservedPace
+from turnward.gateway.engine_speed import EventGaps
 from turnward.gateway.state import FleetState
 from turnward.gateway.word_news import ToldWord, WordNews
 from turnward.http1 import HeaderList, header_value
@@ -54,15 +54,13 @@
         self._log = log
         self.words = WordNews(clock, self.note_told_word)
 
-    def note_pace_class(
-        self, record: EndpointRecord, pace: ObservedPace, usual: ObservedPace
-    ) -> None:
+    def note_pace_class(self, record: EndpointRecord, pace: EventGaps, usual: EventGaps) -> None:
         """Tell of an engine that is faster or slower than it was, beside the others of its pool."""
         self._log.belief(
             "endpoint.pace",
             endpoint=record.incarnation,
             pool=record.entry.pool,
-            pace=record.pace_class.name.lower(),
+            pace=record.speed_class.name.lower(),
             event_gap_ms=round(pace.quiet_gap_ms, 1),
             usual_gap_ms=round(usual.quiet_gap_ms, 1),
             usual_held_up_ms=round(usual.held_up_gap_ms, 1),
--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -8,7 +8,7 @@
 from turnward.gateway.abandoned_runs import AbandonedRuns
 from turnward.gateway.availability import Availability
 from turnward.gateway.configuration import EndpointEntry
-from turnward.gateway.pace import EventPace, PaceClass
+from turnward.gateway.engine_speed import EventGapTracker, SpeedClass
 from turnward.gateway.prompts import Prompt
 from turnward.gateway.warm_up import WarmUp
 from turnward.http1 import HeaderList
@@ -47,9 +47,9 @@
         Whether it takes work.
     abandoned : AbandonedRuns
         Own runs there that were given up lately.
-    pace : EventPace
+    pace : EventGapTracker
         How fast own streams go on there.
-    pace_class : PaceClass
+    speed_class : SpeedClass
         How fast it is beside the others of its pool.
     incarnation : str
         Names this start of the endpoint: what is known here ends with it.
@@ -68,8 +68,8 @@
         "incarnation",
         "lapsed_s",
         "opening",
-        "pace",
-        "pace_class",
+        "gap_tracker",
+        "speed_class",
         "pool",
         "prefill_tokens",
         "warm_up",
@@ -92,8 +92,8 @@
         self.abandoned = AbandonedRuns()
         self.warm_up = warm_up
         self.lapsed_s: float | None = None
-        self.pace = EventPace()
-        self.pace_class = PaceClass.USUAL
+        self.gap_tracker = EventGapTracker()
+        self.speed_class = SpeedClass.USUAL
         self._parts: OrderedDict[int, float] = OrderedDict()
 
     @property
@@ -101,15 +101,15 @@
         """The endpoint's id."""
         return self.entry.endpoint_id
 
-    def is_of(self, entry: EndpointEntry) -> bool:
+    def matches_entry(self, entry: EndpointEntry) -> bool:
         """Tell whether an entry is of the process that is known here."""
         return entry.incarnation == self.incarnation and entry.address == self.entry.address
 
     def remember(self, prompt: Prompt, now_s: float) -> None:
         """Note that the endpoint reads a prompt, and so keeps its parts."""
         for part in prompt.parts:
-            self._parts[part.path] = now_s
-            self._parts.move_to_end(part.path)
+            self._parts[part.prefix_hash] = now_s
+            self._parts.move_to_end(part.prefix_hash)
         while len(self._parts) > _PARTS_LIMIT:
             self._parts.popitem(last=False)
 
@@ -117,17 +117,17 @@
         """Return how many of a prompt's tokens own requests have read there."""
         kept = 0
         for part in prompt.parts:
-            seen_s = self._parts.get(part.path)
+            seen_s = self._parts.get(part.prefix_hash)
             if seen_s is None or now_s - seen_s > _PART_LIFE_S:
                 break
             kept += part.tokens
         return kept
 
-    def lapse(self, now_s: float) -> None:
+    def mark_lapsed(self, now_s: float) -> None:
         """Note that its entry is gone; the first time counts."""
         if self.lapsed_s is None:
             self.lapsed_s = now_s
 
-    def may_be_back(self, now_s: float) -> bool:
+    def may_return(self, now_s: float) -> bool:
         """Tell whether its entry, gone with many others, may still come back."""
         return self.lapsed_s is not None and now_s - self.lapsed_s < _LAPSE_S
--- a/turnward/gateway/pace.py
+++ b/turnward/gateway/engine_speed.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-__all__ = ["EventPace", "ObservedPace", "PaceClass", "next_class", "usual_pace"]
+__all__ = ["EventGapTracker", "EventGaps", "SpeedClass", "next_speed_class", "usual_gaps"]
 
 #: Times between events remembered, and those that are needed for a figure. A hundred events
 #: come within two seconds at most from an engine with a few streams.
@@ -41,7 +41,7 @@
 _STILL_LATE = 0.7
 
 
-class PaceClass(Enum):
+class SpeedClass(Enum):
     """An endpoint's speed beside that of the others in its pool."""
 
     USUAL = 1
@@ -49,7 +49,7 @@
     CRAWLING = 3
 
 
-class ObservedPace(msgspec.Struct, frozen=True):
+class EventGaps(msgspec.Struct, frozen=True):
     """Times between events of one endpoint's streams; 0 where not known.
 
     Attributes
@@ -64,7 +64,7 @@
     held_up_gap_ms: float = 0.0
 
 
-def usual_pace(paces: list[ObservedPace]) -> ObservedPace:
+def usual_gaps(paces: list[EventGaps]) -> EventGaps:
     """Return the pace that at least half of the endpoints keep to.
 
     Held-up events are brought to the usual speed first: on an endpoint that is slower they
@@ -72,14 +72,14 @@
 
     Examples
     --------
-    >>> usual_pace([ObservedPace(20.0, 250.0), ObservedPace(), ObservedPace(30.0, 390.0)])
-    ObservedPace(quiet_gap_ms=20.0, held_up_gap_ms=250.0)
+    >>> usual_gaps([EventGaps(20.0, 250.0), EventGaps(), EventGaps(30.0, 390.0)])
+    EventGaps(quiet_gap_ms=20.0, held_up_gap_ms=250.0)
     """
     usual_ms = _lower_median([pace.quiet_gap_ms for pace in paces])
     held_up_ms = [
         pace.held_up_gap_ms * usual_ms / pace.quiet_gap_ms for pace in paces if pace.quiet_gap_ms
     ]
-    return ObservedPace(usual_ms, _lower_median(held_up_ms))
+    return EventGaps(usual_ms, _lower_median(held_up_ms))
 
 
 def _lower_median(values: list[float]) -> float:
@@ -88,9 +88,9 @@
     return known[(len(known) - 1) // 2] if known else 0.0
 
 
-def next_class(
-    current: PaceClass, pace: ObservedPace, usual: ObservedPace, pause_target_ms: float
-) -> PaceClass:
+def next_speed_class(
+    current: SpeedClass, pace: EventGaps, usual: EventGaps, pause_target_ms: float
+) -> SpeedClass:
     """Return the class of an endpoint now; ``USUAL`` where its pace is not known.
 
     An endpoint counts as slower only if events that are held up there would wait for
@@ -98,31 +98,31 @@
 
     Examples
     --------
-    >>> usual = ObservedPace(20.0, 250.0)
-    >>> next_class(PaceClass.USUAL, ObservedPace(26.0), usual, pause_target_ms=300.0).name
+    >>> usual = EventGaps(20.0, 250.0)
+    >>> next_speed_class(SpeedClass.USUAL, EventGaps(26.0), usual, pause_target_ms=300.0).name
     'SLOWER'
-    >>> next_class(PaceClass.USUAL, ObservedPace(26.0), usual, pause_target_ms=400.0).name
+    >>> next_speed_class(SpeedClass.USUAL, EventGaps(26.0), usual, pause_target_ms=400.0).name
     'USUAL'
     """
     if not pace.quiet_gap_ms or not usual.quiet_gap_ms:
-        return PaceClass.USUAL
+        return SpeedClass.USUAL
     ratio = pace.quiet_gap_ms / usual.quiet_gap_ms
-    crawls = current is PaceClass.CRAWLING
+    crawls = current is SpeedClass.CRAWLING
     if ratio >= (_NOT_CRAWLING_RATIO if crawls else _CRAWLING_RATIO):
-        return PaceClass.CRAWLING
-    usually = current is PaceClass.USUAL
+        return SpeedClass.CRAWLING
+    usually = current is SpeedClass.USUAL
     late = ratio * usual.held_up_gap_ms > pause_target_ms * (1.0 if usually else _STILL_LATE)
     if late and ratio >= (_SLOWER_RATIO if usually else _NOT_SLOWER_RATIO):
-        return PaceClass.SLOWER
-    return PaceClass.USUAL
+        return SpeedClass.SLOWER
+    return SpeedClass.USUAL
 
 
-class EventPace:
+class EventGapTracker:
     """Times between the events of one endpoint's streams.
 
     Examples
     --------
-    >>> pace = EventPace()
+    >>> pace = EventGapTracker()
     >>> for gap_ms in [20.0, 20.0, 20.0, 300.0] * 16:
     ...     pace.note(gap_ms, now_s=7.0)
     ...     observed = pace.observed(now_s=7.0)
@@ -149,15 +149,15 @@
         if self._quiet_gap_ms and gap_ms > _HELD_UP_FACTOR * self._quiet_gap_ms:
             self._held_up_ms.append(gap_ms)
 
-    def observed(self, now_s: float) -> ObservedPace:
+    def observed(self, now_s: float) -> EventGaps:
         """Return the pace as of now; nothing is known of it until enough was seen."""
         if now_s - self._noted_s > _LIFE_S:
-            return ObservedPace()
+            return EventGaps()
         if self._fresh >= _LEAST:
             self._fresh = 0
             ranked = sorted(self._gaps_ms)
             self._quiet_gap_ms = ranked[int(_QUIET_RANK * len(ranked))]
-        return ObservedPace(self._quiet_gap_ms, self._long_held_up_ms())
+        return EventGaps(self._quiet_gap_ms, self._long_held_up_ms())
 
     def _long_held_up_ms(self) -> float:
         if len(self._held_up_ms) < _HELD_UP_LEAST:
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -18,7 +18,7 @@
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_record import EndpointRecord
 from turnward.gateway.outcomes import PROMISES_NOT_RUN, NoRepeat, Outcome, Reason
-from turnward.gateway.pool_entry import PoolEntry
+from turnward.gateway.pool_admission import PoolAdmission
 from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.progress import StreamProgress
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
@@ -135,7 +135,7 @@
         self.refusing = False
         self.open: set[Forwarding] = set()
         self._allowances: dict[str, RepeatAllowance] = {}
-        self.entry = PoolEntry(rules.admission, state, endpoints)
+        self.entry = PoolAdmission(rules.admission, state, endpoints)
         self.return_times = ReturnTimes(reactor.seconds, endpoints, draw, rules.retry_after_s)
 
     def handle(self, request: InboundRequest) -> None:
@@ -632,7 +632,7 @@
 
     def continues(self, first_id: bytes | None) -> bool:
         """Tell whether an event may follow the last one passed on."""
-        return self._progress.may_go_on_with(first_id)
+        return self._progress.may_continue_with(first_id)
 
     def note_events(self, count: int, last_id: bytes | None) -> None:
         """Count events passed on."""
--- a/turnward/gateway/pool_entry.py
+++ b/turnward/gateway/pool_admission.py
@@ -5,10 +5,10 @@
 from turnward.gateway.choice import EndpointBook, EndpointChoice
 from turnward.gateway.state import FleetState
 
-__all__ = ["PoolEntry"]
+__all__ = ["PoolAdmission"]
 
 
-class PoolEntry:
+class PoolAdmission:
     """Asks the rule of admission with what is known of a pool.
 
     Parameters
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -113,7 +113,7 @@
         weighs_pace=mechanisms.weighs_pace,
     )
     if not mechanisms.agreed_homes:
-        rule = msgspec.structs.replace(rule, homes=0)
+        rule = msgspec.structs.replace(rule, preferred_endpoints=0)
     if not mechanisms.zone_cost:
         rule = msgspec.structs.replace(rule, zone_cost_ms=0.0)
     return rule
@@ -202,8 +202,8 @@
         news = EndpointNews(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
         self._word_news = news.words
         self._limits.on_told = news.note_told_limit
-        self.endpoints.on_pace_class = news.note_pace_class
-        self.endpoints.on_word = news.note_word
+        self.endpoints.on_speed_class = news.note_pace_class
+        self.endpoints.on_feedback = news.note_word
         self.endpoints.on_rate_limit = news.note_rate_limit
         self.holders = RendezvousHolders(self.book, reactor.seconds, settings.budget_holders)
         self.accounts = PrepaidAccounts(
@@ -563,7 +563,9 @@
         now_s = self._reactor.seconds()
         if self.state.unconfirmed_for_s() > _CONTACT_LOST_S:
             self._contact_since_s = now_s
-        self.quarantine.note_standing(self.endpoints.standing(), self._contact_since_s)
+        self.quarantine.note_standing(
+            self.endpoints.incarnations_with_entry(), self._contact_since_s
+        )
         self.endpoints.drop_lapsed()
         for record in self.endpoints.all():
             record.pool.trim(now_s)
--- a/turnward/gateway/progress.py
+++ b/turnward/gateway/progress.py
@@ -25,7 +25,7 @@
     >>> progress.note(1, b"3", now_s=1.25)
     >>> progress.events, progress.longest_pause_s
     (3, 0.25)
-    >>> progress.may_go_on_with(b"3"), progress.may_go_on_with(b"4")
+    >>> progress.may_continue_with(b"3"), progress.may_continue_with(b"4")
     (False, True)
     """
 
@@ -51,7 +51,7 @@
         if last_id is not None:
             self.last_id = last_id
 
-    def may_go_on_with(self, first_id: bytes | None) -> bool:
+    def may_continue_with(self, first_id: bytes | None) -> bool:
         """Tell whether an event with this id may follow the last one passed on."""
         if self.last_id is None or first_id is None:
             return True
--- a/turnward/gateway/prompts.py
+++ b/turnward/gateway/prompts.py
@@ -11,7 +11,7 @@
 class PromptPart(msgspec.Struct, frozen=True):
     """A part of a prompt, named by all parts up to it."""
 
-    path: int
+    prefix_hash: int
     tokens: int
 
 
@@ -49,11 +49,11 @@
     ()
     """
     parts = []
-    path = 0
+    prefix_hash = 0
     for word in text.split(",")[:limit]:
         name, _, tokens = word.strip().partition(":")
         if not tokens.isdigit():
             return ()
-        path = zlib.crc32(name.encode(), path)
-        parts.append(PromptPart(path, int(tokens)))
+        prefix_hash = zlib.crc32(name.encode(), prefix_hash)
+        parts.append(PromptPart(prefix_hash, int(tokens)))
     return tuple(parts)
--- a/turnward/gateway/return_times.py
+++ b/turnward/gateway/return_times.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from turnward.admission import OverloadSpell
+from turnward.admission import OverloadPeriod
 from turnward.gateway.choice import EndpointBook
 from turnward.gateway.outcomes import Reason
 
@@ -49,7 +49,7 @@
         self._endpoints = endpoints
         self._draw = draw
         self._least_s = least_s
-        self._spells: dict[str, OverloadSpell] = {}
+        self._spells: dict[str, OverloadPeriod] = {}
 
     def retry_after_s(self, reason: Reason, pool: str, excess_s: float = 0.0) -> float:
         """Return the time to tell, rounded up to hundredths.
@@ -72,5 +72,5 @@
         known_s = opens_in_s if math.isfinite(opens_in_s) else 0.0
         if reason is Reason.ENDPOINTS_COLD:
             return known_s
-        spell = self._spells.setdefault(pool, OverloadSpell(self._clock))
+        spell = self._spells.setdefault(pool, OverloadPeriod(self._clock))
         return max(known_s, excess_s, spell.note_refused())
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -60,20 +60,20 @@
     return Prompt(tokens, 100, parts)
 
 
-def test_work_spreads_over_endpoints():
+def test_requests_are_distributed_over_endpoints():
     world = World()
     for _ in range(8):
         world.choose().in_flight += 1
     assert {record.in_flight for record in world.book.all()} == {2}
 
 
-def test_peers_load_counts():
+def test_load_of_peers_is_counted():
     world = World(count=2)
     world.loads = {"e-0": EndpointLoad("e-0", 30, 0)}
     assert {world.choose().endpoint_id for _ in range(10)} == {"e-1"}
 
 
-def test_routers_agree_on_the_home_of_a_prompt_part():
+def test_routers_agree_on_the_preferred_endpoint_of_a_prompt_part():
     first, second = World(seed=1), World(seed=2)
     for number in range(20):
         wanted = prompt(f"{number:x}")
@@ -81,7 +81,7 @@
         assert len(homes) == 1
 
 
-def test_homes_spread_over_endpoints():
+def test_preferred_endpoints_are_distributed_over_the_pool():
     world = World()
     homes = Counter(
         world.choose(prompt(f"{number:x}"), ENGINE).endpoint_id for number in range(200)
@@ -90,14 +90,14 @@
     assert max(homes.values()) < 90
 
 
-def test_crowded_home_is_left_for_another():
+def test_overloaded_preferred_endpoint_is_not_chosen():
     world = World()
     home = world.choose(prompt("a"), ENGINE)
     home.prefill_tokens = 50_000
     assert world.choose(prompt("a"), ENGINE) is not home
 
 
-def test_busy_home_of_a_large_shared_part_is_waited_for():
+def test_busy_preferred_endpoint_is_chosen_when_rereading_costs_more():
     world = World()
     wanted = prompt("1")
     home = world.choose(wanted, ENGINE)
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("certain", [True, False])
-def test_endpoint_that_fails_rests_and_is_tried_by_one_request(certain):
+def test_failed_endpoint_backs_off_and_is_probed_by_one_request(certain):
     world = World(count=2)
     failing = world.book.get("e-0")
     for _ in range(1 if certain else 2):
@@ -122,14 +122,14 @@
     assert world.choose() is failing
 
 
-def test_resting_endpoints_are_used_when_there_is_no_other():
+def test_endpoints_in_backoff_are_used_when_there_is_no_other():
     world = World(count=2)
     for record in world.book.all():
         record.availability.failed(world.now_s, certain=True)
     assert world.choose() is not None
 
 
-def test_leaving_endpoints_are_never_chosen():
+def test_draining_endpoints_are_never_chosen():
     world = World(count=2, leaving=True)
     assert world.choose() is None
 
@@ -149,7 +149,7 @@
     assert world.book.get("e-0") is not before
 
 
-def test_memory_of_prompt_parts_is_bounded_and_ages():
+def test_remembered_prompt_parts_are_bounded_and_expire():
     world = World(count=1)
     record = world.book.get("e-0")
     for number in range(5_000):
@@ -163,7 +163,7 @@
     return {world.choose().endpoint_id for _ in range(times)}
 
 
-def test_endpoint_that_is_gone_from_its_address_gets_nothing_and_then_is_a_last_resort_for_good():
+def test_endpoint_gone_from_its_address_is_excluded_and_then_a_last_resort():
     world = World(count=2)
     world.book.get("e-0").availability.note_gone(world.now_s)
     world.now_s += 60.0
@@ -176,7 +176,7 @@
     assert ids_chosen(world) == {"e-0", "e-1"}
 
 
-def test_nothing_is_chosen_where_all_are_known_to_be_gone():
+def test_no_endpoint_is_chosen_when_all_are_known_to_be_gone():
     world = World(count=2)
     for record in world.book.all():
         record.availability.note_gone(world.now_s)
@@ -193,7 +193,7 @@
     world.book.set_entries(kept, store_was_away)
 
 
-def test_endpoints_whose_entries_lapse_together_keep_their_work_until_they_are_back():
+def test_endpoints_whose_entries_lapse_together_stay_in_use_until_the_entries_return():
     world = World(count=8)
     without(world, *range(8))
     assert len(ids_chosen(world, 60)) == 8
@@ -206,7 +206,7 @@
     assert len(ids_chosen(world, 60)) == 8
 
 
-def test_those_that_are_not_back_in_time_are_gone():
+def test_endpoints_whose_entries_do_not_return_in_time_are_removed():
     world = World(count=8)
     without(world, 0, 1, 2)
     world.now_s += 1.5
@@ -217,19 +217,19 @@
     assert len(ids_chosen(world, 60)) == 5
 
 
-def test_many_that_go_while_the_store_answers_have_ended():
+def test_entries_that_vanish_while_the_store_answers_are_removed_at_once():
     world = World(count=8)
     without(world, 0, 1, 2, store_was_away=False)
     assert len(ids_chosen(world, 60)) == 5
 
 
-def test_single_entry_that_goes_is_an_end():
+def test_single_entry_that_vanishes_is_removed_at_once():
     world = World(count=8)
     without(world, 0)
     assert len(ids_chosen(world, 60)) == 7
 
 
-def test_endpoints_that_said_that_they_leave_have_left():
+def test_draining_endpoints_whose_entries_vanish_are_removed_at_once():
     world = World(count=8, leaving=True)
     without(world, 0, 1, 2)
     assert len(world.book.all()) == 5
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize("told", [0.0, 3.0])
-def test_endpoint_that_starts_counts_as_cold_whether_or_not_it_says_so(told):
+def test_new_endpoint_counts_as_cold_whether_or_not_its_entry_says_so(told):
     world = ColdWorld()
     world.add(9, cold_left_s=told)
     world.take_in()
@@ -306,18 +306,18 @@
     assert world.chosen()["e-9"] > 5
 
 
-def test_endpoint_that_says_at_the_start_that_it_is_cold_is_believed():
+def test_cold_time_in_the_first_entry_of_an_endpoint_is_respected():
     assert set(ColdWorld(cold_left_s=2.0).chosen().values()) == {1}
 
 
-def test_endpoint_that_turns_cold_again_is_believed():
+def test_cold_time_in_a_later_entry_of_an_endpoint_is_respected():
     world = ColdWorld()
     world.entries["e-1"] = msgspec.structs.replace(world.entries["e-1"], cold_left_s=2.5)
     world.take_in()
     assert world.chosen()["e-1"] == 1
 
 
-def test_endpoint_whose_entry_lapsed_comes_back_as_warm_as_it_was():
+def test_endpoint_keeps_its_warm_up_state_when_its_entry_returns():
     world = ColdWorld()
     kept = world.entries.pop("e-1")
     world.take_in()
@@ -326,7 +326,7 @@
     assert world.chosen()["e-1"] > 5
 
 
-def test_endpoints_of_a_zone_taken_back_are_cold():
+def test_endpoints_of_a_zone_no_longer_drained_are_cold():
     world = ColdWorld()
     world.book.set_drained_zones(frozenset({"zone-1"}))
     assert world.chosen()["e-1"] == 0
@@ -336,13 +336,13 @@
 
 
 @pytest.mark.parametrize("world", [ColdWorld(rank=4), ColdWorld(members_read=False)])
-def test_router_without_a_share_sends_a_cold_endpoint_nothing(world):
+def test_router_without_a_share_sends_nothing_to_a_cold_endpoint(world):
     world.add(9)
     world.take_in()
     assert world.chosen()["e-9"] == 0
 
 
-def test_cold_endpoints_are_no_last_resort():
+def test_cold_endpoints_are_not_used_as_a_last_resort():
     world = ColdWorld(rank=4)
     world.add(9)
     for number in range(3):
@@ -355,7 +355,7 @@
     assert 2.9 <= shortage.opens_in_s <= 3.0
 
 
-def test_pool_that_tells_no_rate_knows_no_cold_endpoints():
+def test_pool_without_warm_up_traits_has_no_cold_endpoints():
     world = ColdWorld(warm_up=None, rank=4)
     world.add(9, cold_left_s=3.0)
     world.take_in()
--- a/turnward/gateway/tests/test_endpoints_born_again.py
+++ b/turnward/gateway/tests/test_endpoints_born_again.py
@@ -37,7 +37,7 @@
     assert new.availability.doubted_for_s(world.now_s) == 0.0
     assert new.kept_tokens(wanted, world.now_s) == 0
     assert old.pool.closed
-    assert world.choose(without={"e-1@1000"}) is new
+    assert world.choose(excluded={"e-1@1000"}) is new
 
 
 def test_another_address_with_another_birth_is_one_new_endpoint(world):
--- a/turnward/gateway/tests/test_pace.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -7,8 +7,14 @@
 
 from turnward.gateway import Configuration, EndpointEntry, EngineTraits, Repeat, RouteTable
 from turnward.gateway.choice import EndpointBook
+from turnward.gateway.engine_speed import (
+    EventGaps,
+    EventGapTracker,
+    SpeedClass,
+    next_speed_class,
+    usual_gaps,
+)
 from turnward.gateway.mechanisms import Mechanisms
-from turnward.gateway.pace import EventPace, ObservedPace, PaceClass, next_class, usual_pace
 from turnward.gateway.peer_book import EndpointLoad
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
 from turnward.gateway.tests.rig import ENGINE_POOL, Rig, answer_head, events
@@ -48,8 +54,10 @@
         for record, gap_ms in zip(self.book.all(), self.gaps_ms, strict=True):
             for _ in range(200):
                 held_up = draw.random() < held_up_share
-                record.pace.note(gap_ms * (12 if held_up else draw.uniform(1.0, 1.1)), self.now_s)
-                record.pace.observed(self.now_s)
+                record.gap_tracker.note(
+                    gap_ms * (12 if held_up else draw.uniform(1.0, 1.1)), self.now_s
+                )
+                record.gap_tracker.observed(self.now_s)
 
     def shares(self, prompts):
         """Return how many of the prompts each engine would get."""
@@ -64,7 +72,7 @@
     return [Prompt(9_000, 200, parse_prompt_parts(f"{n:x}:6000,own:3000")) for n in range(count)]
 
 
-def test_long_prompts_keep_away_from_a_slower_engine():
+def test_long_prompts_avoid_a_slower_engine():
     engines = Engines(ONE_SLOWER)
     assert engines.shares(long_prompts())[1] > 0
     engines.play()
@@ -72,7 +80,7 @@
     assert engines.shares(long_prompts())[1] == 0
 
 
-def test_short_prompts_go_where_no_long_ones_are_read():
+def test_short_prompts_prefer_the_engine_without_long_prompts():
     engines = Engines(ONE_SLOWER)
     engines.play()
     assert engines.shares([SHORT] * 20) == [0, 20, 0, 0]
@@ -86,26 +94,26 @@
 
 
 @pytest.mark.parametrize("prompts", [long_prompts(20), [SHORT] * 20])
-def test_an_engine_that_crawls_gets_nothing_while_others_have_room(prompts):
+def test_very_slow_engine_gets_nothing_while_others_have_capacity(prompts):
     engines = Engines(ONE_CRAWLING)
     engines.play()
     assert engines.shares(prompts)[1] == 0
 
 
-def test_equally_fast_engines_are_chosen_as_if_nothing_were_known():
+def test_measurements_do_not_change_the_choice_among_equally_fast_engines():
     engines, unknown = Engines(EQUAL, seed=4), Engines(EQUAL, seed=4)
     engines.play()
     prompts = [*long_prompts(20), *[SHORT] * 20]
     assert engines.shares(prompts) == unknown.shares(prompts)
 
 
-def test_routers_that_saw_no_stream_agree_with_those_that_did():
+def test_routers_without_streams_agree_through_reports_of_peers():
     seen, unseen = Engines(ONE_SLOWER, seed=1), Engines(ONE_SLOWER, seed=2)
     seen.play()
     for record in seen.book.all():
-        pace = record.pace.observed(seen.now_s)
+        gap_tracker = record.gap_tracker.observed(seen.now_s)
         unseen.told[record.endpoint_id] = EndpointLoad(
-            record.incarnation, 0, 0, pace.quiet_gap_ms, pace.held_up_gap_ms
+            record.incarnation, 0, 0, gap_tracker.quiet_gap_ms, gap_tracker.held_up_gap_ms
         )
     assert seen.shares(long_prompts()) == unseen.shares(long_prompts())
 
@@ -119,28 +127,30 @@
     assert engines.shares(long_prompts())[1] > 0
 
 
-def test_figures_age():
+def test_measured_intervals_expire():
     engines = Engines(ONE_SLOWER)
     engines.play()
     engines.now_s += 60.0
     assert engines.shares(long_prompts())[1] > 0
 
 
-def test_few_events_are_no_figure():
-    pace = EventPace()
+def test_too_few_events_give_no_estimate():
+    gap_tracker = EventGapTracker()
     for _ in range(10):
-        pace.note(90.0, 0.0)
-    assert pace.observed(0.0) == ObservedPace()
+        gap_tracker.note(90.0, 0.0)
+    assert gap_tracker.observed(0.0) == EventGaps()
 
 
 def test_at_least_half_of_the_engines_are_usual():
-    paces = [ObservedPace(gap_ms, gap_ms * 12) for gap_ms in (10.0, 30.0, 30.0)]
-    usual = usual_pace(paces)
-    classes = [next_class(PaceClass.USUAL, pace, usual, 300.0) for pace in paces]
-    assert classes == [PaceClass.USUAL] * 3
+    paces = [EventGaps(gap_ms, gap_ms * 12) for gap_ms in (10.0, 30.0, 30.0)]
+    usual = usual_gaps(paces)
+    classes = [
+        next_speed_class(SpeedClass.USUAL, gap_tracker, usual, 300.0) for gap_tracker in paces
+    ]
+    assert classes == [SpeedClass.USUAL] * 3
 
 
-def test_slower_engine_is_as_good_where_callers_bear_its_pauses():
+def test_slower_engine_is_used_where_its_pauses_are_within_the_target():
     """Held up for 312 ms there: late where 300 ms are borne, in time where 400 ms are."""
     for pause_target_s, avoided in ((0.3, True), (0.4, False)):
         engines = Engines(ONE_SLOWER, pause_target_s=pause_target_s)
@@ -148,7 +158,7 @@
         assert (engines.shares(long_prompts())[1] == 0) is avoided
 
 
-def test_speed_does_not_matter_where_nothing_is_held_up():
+def test_slower_engine_is_used_where_no_event_is_held_up():
     engines = Engines(ONE_SLOWER)
     engines.play(held_up_share=0.0)
     assert engines.shares(long_prompts())[1] > 0
@@ -164,10 +174,10 @@
     assert table.pause_targets_s == {"pool": 0.3}
 
 
-def test_class_of_an_engine_near_the_bound_does_not_flip():
+def test_speed_class_near_the_threshold_does_not_oscillate():
     engines = Engines((20.0, 23.5, 20.5, 21.0))
     changes = []
-    engines.book.on_pace_class = lambda record, pace, usual: changes.append(record)
+    engines.book.on_speed_class = lambda record, gap_tracker, usual: changes.append(record)
     for gap_ms in (24.9, 23.5, 24.9, 23.5, 24.9):
         engines.gaps_ms = (20.0, gap_ms, 20.5, 21.0)
         engines.play()
@@ -196,7 +206,7 @@
 
 
 @pytest.mark.parametrize("weighs_pace", [True, False])
-def test_gateways_learn_from_streams_that_pass(weighs_pace):
+def test_gateways_measure_speed_from_forwarded_streams(weighs_pace):
     rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, time_limit_s=20.0, pause_target_s=0.3)
     rig.mechanisms = Mechanisms(weighs_pace=weighs_pace)
     for gap_s in (0.02, 0.03, 0.02):
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -102,7 +102,9 @@
         return [routers.choose("pool", one, ENGINE, set()).record.endpoint_id for one in prompts]
 
     assert choices(ChoiceRule(), 1) == choices(ChoiceRule(), 2)
-    assert choices(ChoiceRule(homes=0), 1) != choices(ChoiceRule(homes=0), 2)
+    assert choices(ChoiceRule(preferred_endpoints=0), 1) != choices(
+        ChoiceRule(preferred_endpoints=0), 2
+    )
 
 
 def test_without_a_weight_a_busy_home_is_left_sooner():
--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -108,7 +108,7 @@
         return [caller for caller, _ in self.sent if caller.status == 503]
 
 
-def test_wave_is_served_in_time_up_to_capacity_and_the_rest_refused_at_once():
+def test_burst_is_served_in_time_up_to_capacity_and_the_rest_refused_at_once():
     wave = Wave(times=5.0).finish()
     late = Wave(times=5.0, admission=False).finish()
     served_at_capacity = CAPACITY_PER_S * WAVE_S
@@ -123,11 +123,11 @@
     assert not Wave(times).finish().refused()
 
 
-def test_ten_times_is_served_as_well_as_five_times():
+def test_tenfold_load_is_served_as_well_as_fivefold_load():
     assert Wave(10.0).finish().in_target() >= 0.9 * Wave(5.0).finish().in_target()
 
 
-def test_wave_is_over_as_soon_as_it_ends():
+def test_requests_are_served_in_time_again_as_soon_as_a_burst_ends():
     wave = Wave(times=5.0)
     wave.rig.network.advance(1.0)
     before = len(wave.sent)
@@ -138,7 +138,7 @@
     assert all(wave.begun_s[caller] <= TARGET_S for caller, _ in usual)
 
 
-def test_callers_are_told_later_times_the_longer_a_wave_lasts():
+def test_retry_after_grows_with_the_length_of_a_burst():
     wave = Wave(times=5.0).finish()
     told_s = [float(caller.header(b"retry-after")) for caller in wave.refused()]
     tenth = len(told_s) // 10
--- a/turnward/gateway/tests/test_warm_up.py
+++ b/turnward/gateway/tests/test_warm_up.py
@@ -3,75 +3,75 @@
 
 import pytest
 
-from turnward.gateway.tests.warm_up_plays import (
-    ByNoWord,
-    ByShares,
-    BySharesOfTheSeen,
-    ByStep,
+from turnward.gateway.tests.warm_up_sim import (
     Fleet,
-    Play,
-    plays,
-    random_play,
+    NoRampStrategy,
+    Scenario,
+    ShareOfVisiblePeersStrategy,
+    ShareStrategy,
+    UninformedStrategy,
+    random_scenario,
+    scenarios,
     stated_limit,
 )
 
-#: Seeds of random plays in CI; ``python -m turnward.gateway.tests.warm_up_plays 200`` plays more.
+#: Seeds of random plays in CI; ``python -m turnward.gateway.tests.warm_up_sim 200`` plays more.
 SEEDS = (*range(12), 83, 102, 398, 696)
 
 
-def run(play, way=ByShares, after_s=1.0):
-    return Fleet(play, way).run(play.cold_s + after_s)
+def run(scenario, way=ShareStrategy, after_s=1.0):
+    return Fleet(scenario, way).run(scenario.cold_s + after_s)
 
 
 @pytest.mark.parametrize("size", [(7, 2), (86, 12), (300, 6)])
-def test_no_second_holds_more_than_a_cold_endpoint_bears(size):
-    for name, play in plays(*size):
-        assert run(play).most_in_a_second <= stated_limit(play), name
+def test_cold_endpoint_never_receives_more_than_its_rate(size):
+    for name, scenario in scenarios(*size):
+        assert run(scenario).most_in_a_second <= stated_limit(scenario), name
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_fleets_keep_the_bound(seed):
-    play = random_play(seed)
-    assert run(play).most_in_a_second <= stated_limit(play), play
+    scenario = random_scenario(seed)
+    assert run(scenario).most_in_a_second <= stated_limit(scenario), scenario
 
 
-def test_a_cut_multiplies_no_shares():
+def test_partition_does_not_multiply_shares():
     """Shared out among the routers that are heard, 101 requests came in a second."""
-    play = Play(routers=86, endpoints=12, cut=0.34)
-    assert run(play, BySharesOfTheSeen).most_in_a_second > stated_limit(play)
-    assert run(play).most_in_a_second <= play.requests_per_s
+    scenario = Scenario(routers=86, endpoints=12, cut=0.34)
+    assert run(scenario, ShareOfVisiblePeersStrategy).most_in_a_second > stated_limit(scenario)
+    assert run(scenario).most_in_a_second <= scenario.requests_per_s
 
 
-def test_routers_must_be_told_that_an_endpoint_is_cold():
-    play = Play(routers=86, endpoints=3)
-    assert run(play, ByNoWord).most_in_a_second > stated_limit(play)
+def test_rate_is_exceeded_when_routers_do_not_know_that_an_endpoint_is_cold():
+    scenario = Scenario(routers=86, endpoints=3)
+    assert run(scenario, UninformedStrategy).most_in_a_second > stated_limit(scenario)
 
 
-def test_the_way_back_to_full_load_has_no_step():
+def test_return_to_full_load_has_no_step():
     """From 86 routers a just warm endpoint got 50 requests in 0.2 s; with a ramp 7."""
-    play = Play(routers=86, endpoints=45)
-    assert run(play, ByStep).step > 15
-    assert run(play).step <= 8
+    scenario = Scenario(routers=86, endpoints=45)
+    assert run(scenario, NoRampStrategy).step > 15
+    assert run(scenario).step <= 8
 
 
-def test_all_routers_may_choose_a_warm_endpoint_soon():
+def test_all_routers_may_choose_an_endpoint_soon_after_it_is_warm():
     """All of 86 routers 1.6 s after the end of the cold time."""
-    play = Play(routers=86, endpoints=1)
-    fleet = Fleet(play, ByShares)
-    fleet.run(play.cold_s)
-    fleet.clock.now_s = play.cold_s + 1.7
+    scenario = Scenario(routers=86, endpoints=1)
+    fleet = Fleet(scenario, ShareStrategy)
+    fleet.run(scenario.cold_s)
+    fleet.clock.now_s = scenario.cold_s + 1.7
     assert all(router.may_send(fleet.endpoints[0]) for router in fleet.routers)
 
 
-def test_cold_endpoints_together_take_most_of_what_they_bear():
+def test_cold_endpoints_together_receive_most_of_their_rate():
     """Where leases from one router let 586 requests through: 511; 557 to 212 in a cut."""
-    play = Play(routers=86, endpoints=45)
-    assert run(play).served > 450
-    assert run(Play(routers=86, endpoints=45, cut=1.0)).served > 450
+    scenario = Scenario(routers=86, endpoints=45)
+    assert run(scenario).served > 450
+    assert run(Scenario(routers=86, endpoints=45, cut=1.0)).served > 450
 
 
-def test_an_endpoint_that_bears_less_than_one_a_second_gets_one_router():
-    play = Play(routers=20, endpoints=2, requests_per_s=0.5, cold_s=6.0)
-    outcome = run(play)
+def test_endpoint_with_a_rate_below_one_per_second_gets_one_router():
+    scenario = Scenario(routers=20, endpoints=2, requests_per_s=0.5, cold_s=6.0)
+    outcome = run(scenario)
     assert outcome.most_in_a_second == 1
     assert outcome.served >= 2
--- a/turnward/gateway/tests/warm_up_plays.py
+++ b/turnward/gateway/tests/warm_up_sim.py
@@ -26,7 +26,7 @@
 _LEASE_S = 0.5
 
 
-class Play(msgspec.Struct, frozen=True, kw_only=True):
+class Scenario(msgspec.Struct, frozen=True, kw_only=True):
     """One play.
 
     Attributes
@@ -70,11 +70,11 @@
         return self.now_s
 
 
-class WayBase(ABC):
+class StrategyBase(ABC):
     """How one router learns whether it may send."""
 
-    def __init__(self, play, fleet, number, book, clock):
-        self.play = play
+    def __init__(self, scenario, fleet, number, book, clock):
+        self.scenario = scenario
         self.fleet = fleet
         self.number = number
         self.book = book
@@ -85,7 +85,7 @@
         """Tell whether a request may go to a cold endpoint now, and note it if so."""
 
 
-class ByShares(WayBase):
+class ShareStrategy(StrategyBase):
     """The product's way."""
 
     def __init__(self, *args):
@@ -93,10 +93,10 @@
         self.shares = WarmUpShares(MemberRanks(self.book))
         self.warm_ups = {endpoint: WarmUp(self.clock) for endpoint in self.fleet.endpoints}
         for warm_up in self.warm_ups.values():
-            warm_up.note_cold(self.play.cold_s)
+            warm_up.note_cold(self.scenario.cold_s)
 
     def allowance(self, endpoint: str) -> Allowance:
-        return self.shares.allowance(endpoint, self.play.requests_per_s)
+        return self.shares.allowance(endpoint, self.scenario.requests_per_s)
 
     def may_send(self, endpoint):
         warm_up = self.warm_ups[endpoint]
@@ -106,16 +106,16 @@
         return True
 
 
-class BySharesOfTheSeen(ByShares):
+class ShareOfVisiblePeersStrategy(ShareStrategy):
     """A broken variant: the rate is shared out among the routers that are heard."""
 
     def allowance(self, endpoint):
         seen = 1 if self.fleet.is_cut(self.number) else self.fleet.heard
-        each_per_s = self.play.requests_per_s / max(1, seen)
+        each_per_s = self.scenario.requests_per_s / max(1, seen)
         return Allowance(1.0 / each_per_s, 0, seen)
 
 
-class ByStep(ByShares):
+class NoRampStrategy(ShareStrategy):
     """A broken variant: all routers choose the endpoint as soon as its cold time is over."""
 
     def may_send(self, endpoint):
@@ -124,14 +124,14 @@
         return super().may_send(endpoint)
 
 
-class ByNoWord(ByShares):
+class UninformedStrategy(ShareStrategy):
     """A broken variant: routers are not told that an endpoint is cold, and find out by sending."""
 
     def may_send(self, endpoint):
         return True
 
 
-class ByLeases(WayBase):
+class LeaseStrategy(StrategyBase):
     """The other way weighed: the first member in rank grants each request."""
 
     def may_send(self, endpoint):
@@ -142,7 +142,7 @@
         free_s = self.fleet.lease_free_s.get((holder, endpoint), -1e9)
         if now_s < free_s:
             return False
-        self.fleet.lease_free_s[holder, endpoint] = now_s + 1.0 / self.play.requests_per_s
+        self.fleet.lease_free_s[holder, endpoint] = now_s + 1.0 / self.scenario.requests_per_s
         self.fleet.lease_calls += 1
         return True
 
@@ -168,23 +168,23 @@
 class Fleet:
     """The routers of a play and the endpoints' counts."""
 
-    def __init__(self, play: Play, way: type[WayBase]):
-        self.play = play
-        self.draw = random.Random(play.seed)
+    def __init__(self, scenario: Scenario, way: type[StrategyBase]):
+        self.scenario = scenario
+        self.draw = random.Random(scenario.seed)
         self.clock = Clock()
-        self.endpoints = [f"e-{number}-{play.seed}" for number in range(play.endpoints)]
+        self.endpoints = [f"e-{number}-{scenario.seed}" for number in range(scenario.endpoints)]
         self.arrivals = {endpoint: [] for endpoint in self.endpoints}
-        count = play.routers
-        self._cut = set(self.draw.sample(range(count), int(play.cut * count)))
-        self._unread = set(self.draw.sample(range(count), int(play.unread * count)))
-        self._frozen = set(self.draw.sample(range(count), int(play.frozen * count)))
+        count = scenario.routers
+        self._cut = set(self.draw.sample(range(count), int(scenario.cut * count)))
+        self._unread = set(self.draw.sample(range(count), int(scenario.unread * count)))
+        self._frozen = set(self.draw.sample(range(count), int(scenario.frozen * count)))
         self.heard = count - len(self._cut)
         self.lease_free_s = {}
         self.lease_calls = 0
-        self.addresses = [f"10.0.{n // 250}.{n % 250}:1" for n in range(count + play.added)]
+        self.addresses = [f"10.0.{n // 250}.{n % 250}:1" for n in range(count + scenario.added)]
         self.routers = [
-            way(play, self, number, self._book(number), self.clock)
-            for number in range(count + play.added)
+            way(scenario, self, number, self._book(number), self.clock)
+            for number in range(count + scenario.added)
         ]
         self._holders = {}
 
@@ -193,17 +193,17 @@
 
     def _book(self, number: int) -> PeerBook:
         book = PeerBook(self.addresses[number], self.clock)
-        newcomer = number >= self.play.routers
+        newcomer = number >= self.scenario.routers
         for other, address in enumerate(self.addresses):
-            if newcomer or other < self.play.routers:
+            if newcomer or other < self.scenario.routers:
                 book.add_member(address, "z")
         book.members_read = number not in self._unread
         return book
 
     def holder(self, endpoint: str, asker: int) -> int | None:
         """Return who grants an endpoint's leases to a router; None when it is not reached."""
-        newcomer = asker >= self.play.routers
-        known = len(self.addresses) if newcomer else self.play.routers
+        newcomer = asker >= self.scenario.routers
+        known = len(self.addresses) if newcomer else self.scenario.routers
         key = (endpoint, known)
         if key not in self._holders:
             self._holders[key] = max(
@@ -217,7 +217,7 @@
 
     def run(self, until_s: float) -> Outcome:
         """Let time pass; each request goes to the first endpoint that it may."""
-        play = self.play
+        scenario = self.scenario
         events = []
         for number in range(len(self.routers)):
             self._draw_next(events, number, 0.0)
@@ -232,7 +232,7 @@
                 continue
             for endpoint in self.endpoints:
                 if self.routers[number].may_send(endpoint):
-                    delay_s = self.draw.uniform(*_WAY_S) + self.draw.uniform(0, play.connect_s)
+                    delay_s = self.draw.uniform(*_WAY_S) + self.draw.uniform(0, scenario.connect_s)
                     self.arrivals[endpoint].append((self.clock.now_s, delay_s))
                     break
         return self._outcome()
@@ -240,10 +240,10 @@
     def _draw_next(self, events, number: int, at_s: float) -> None:
         if at_s == 1.5 and number in self._frozen:
             return
-        heapq.heappush(events, (at_s + self.draw.expovariate(self.play.demand_per_s), number))
+        heapq.heappush(events, (at_s + self.draw.expovariate(self.scenario.demand_per_s), number))
 
     def _outcome(self) -> Outcome:
-        cold_s = self.play.cold_s
+        cold_s = self.scenario.cold_s
         most = served = step = 0
         for arrivals in self.arrivals.values():
             times = sorted(sent_s + delay_s for sent_s, delay_s in arrivals)
@@ -255,23 +255,23 @@
         return Outcome(most, served, step)
 
 
-def stated_limit(play: Play) -> float:
+def stated_limit(scenario: Scenario) -> float:
     """Return the most requests in a sliding second: the rate, and what newcomers and delays add.
 
     A router that the others do not know yet may take the place of one that goes on; delays that
     differ bring requests of two seconds together.
     """
-    chosen = max(1, min(play.routers, int(play.requests_per_s)))
-    replaced = min(chosen, play.added)
-    late = math.ceil((chosen + replaced) * (play.connect_s + _WAY_S[1]))
-    return max(1.0, play.requests_per_s) + replaced + late
+    chosen = max(1, min(scenario.routers, int(scenario.requests_per_s)))
+    replaced = min(chosen, scenario.added)
+    late = math.ceil((chosen + replaced) * (scenario.connect_s + _WAY_S[1]))
+    return max(1.0, scenario.requests_per_s) + replaced + late
 
 
-def random_play(seed: int) -> Play:
+def random_scenario(seed: int) -> Scenario:
     """Return a play in which all that may differ is drawn."""
     draw = random.Random(seed)
     routers = draw.choice((2, 3, 7, 20, 86))
-    return Play(
+    return Scenario(
         routers=routers,
         endpoints=draw.randint(1, 8),
         requests_per_s=draw.choice((0.5, 1.0, 4.0, 9.9, 19.9, 40.0)),
@@ -299,7 +299,7 @@
 SIZES = ((7, 2), (86, 45), (300, 90))
 
 
-def plays(routers: int, endpoints: int, seed: int = 0):
+def scenarios(routers: int, endpoints: int, seed: int = 0):
     """Return each case's name and play at a size."""
     for name, fields in CASES.items():
         fields = dict(fields)
@@ -308,7 +308,9 @@
         demand = 210.0 * endpoints / 45 / routers
         yield (
             name,
-            Play(routers=routers, endpoints=endpoints, demand_per_s=demand, seed=seed, **fields),
+            Scenario(
+                routers=routers, endpoints=endpoints, demand_per_s=demand, seed=seed, **fields
+            ),
         )
 
 
@@ -317,12 +319,18 @@
     if len(sys.argv) > 1:
         _play_random(int(sys.argv[1]))
         return
-    ways = (ByShares, ByLeases, BySharesOfTheSeen, ByStep, ByNoWord)
+    ways = (
+        ShareStrategy,
+        LeaseStrategy,
+        ShareOfVisiblePeersStrategy,
+        NoRampStrategy,
+        UninformedStrategy,
+    )
     for routers, endpoints in SIZES:
-        for name, play in plays(routers, endpoints):
+        for name, scenario in scenarios(routers, endpoints):
             for way in ways:
-                fleet = Fleet(play, way)
-                outcome = fleet.run(play.cold_s + 1.0)
+                fleet = Fleet(scenario, way)
+                outcome = fleet.run(scenario.cold_s + 1.0)
                 sys.stdout.write(
                     f"| {routers} x {endpoints} | {name} | {way.__name__} "
                     f"| {outcome.most_in_a_second} | {outcome.served} | {outcome.step} "
@@ -334,11 +342,13 @@
 def _play_random(count: int) -> None:
     broken = 0
     for seed in range(count):
-        play = random_play(seed)
-        most = Fleet(play, ByShares).run(play.cold_s + 1.0).most_in_a_second
-        if most > stated_limit(play):
+        scenario = random_scenario(seed)
+        most = Fleet(scenario, ShareStrategy).run(scenario.cold_s + 1.0).most_in_a_second
+        if most > stated_limit(scenario):
             broken += 1
-            sys.stdout.write(f"seed {seed}: {most} in a second, {stated_limit(play):.1f} allowed\n")
+            sys.stdout.write(
+                f"seed {seed}: {most} in a second, {stated_limit(scenario):.1f} allowed\n"
+            )
     sys.stdout.write(f"{count} plays, {broken} broken\n")
 
 
--- a/turnward/gateway/warm_up.py
+++ b/turnward/gateway/warm_up.py
@@ -110,7 +110,7 @@
         """How long it stays cold."""
         return max(0.0, self.cold_until_s - self._clock())
 
-    def settled(self, members: int) -> bool:
+    def ramp_finished(self, members: int) -> bool:
         """Tell whether the endpoint is warm, and its ramp over."""
         warm_for_s = self._clock() - self.cold_until_s
         return warm_for_s >= _RAMP_STEP_S * members.bit_length()
