--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -209,7 +209,7 @@
         if not gone:
             forwarder = self._owner.forwarder
             spread = forwarder.draw.uniform(0.8, 1.2)
-            self.record.availability.turned_away(forwarder.reactor.seconds(), spread)
+            self.record.availability.rejected(forwarder.reactor.seconds(), spread)
         self._drop()
         reason = Reason.NO_ENDPOINT if gone else Reason.ENDPOINTS_FULL
         self._owner.attempt_not_run(self, status, reason)
@@ -294,7 +294,7 @@
         if failed:
             # Another process has the address: that is certain.
             if gone:
-                self.record.availability.note_gone(self._owner.forwarder.reactor.seconds())
+                self.record.availability.mark_replaced(self._owner.forwarder.reactor.seconds())
             self._note_failure(certain=gone)
         elif self.record.availability.succeeded():
             self._owner.forwarder.log.belief(
@@ -315,7 +315,7 @@
                 endpoint=record.incarnation,
                 failures=availability.failures,
                 unreachable=certain,
-                rest_s=round(availability.doubted_for_s(now_s), 3),
+                rest_s=round(availability.suspected_for_s(now_s), 3),
             )
 
     def _opened(self) -> None:
--- a/turnward/gateway/availability.py
+++ b/turnward/gateway/availability.py
@@ -16,9 +16,9 @@
 
 from enum import StrEnum
 
-from turnward.gateway.endpoint_word import EndpointWord
+from turnward.gateway.endpoint_feedback import EndpointFeedback
 
-__all__ = ["Availability", "Hold"]
+__all__ = ["Availability", "UnavailableReason"]
 
 #: Seconds an endpoint is put last after failures in a row: the first, and at most.
 _DOUBT_S = 0.5
@@ -40,13 +40,13 @@
 _NEWS_S = 0.5
 
 
-class Hold(StrEnum):
+class UnavailableReason(StrEnum):
     """Why an endpoint is sent nothing; the strongest first."""
 
-    GONE = "gone"
-    LEAVES = "leaves"
-    RESTS = "rests"
-    LIMITED = "limited"
+    REPLACED = "gone"
+    DRAINING = "leaves"
+    BACKOFF = "rests"
+    RATE_LIMITED = "limited"
 
 
 class Availability:
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    entry_leaves : bool
+    entry_draining : bool
         What its entry says now.
     failures : int
         In a row.
@@ -64,7 +64,7 @@
     Examples
     --------
     >>> availability = Availability()
-    >>> availability.heed(EndpointWord(rest_s=2.0), now_s=10.0)
+    >>> availability.heed(EndpointFeedback(rest_s=2.0), now_s=10.0)
     <Hold.RESTS: 'rests'>
     >>> availability.hold(11.0), availability.hold(12.5)
     (<Hold.RESTS: 'rests'>, None)
@@ -79,13 +79,13 @@
         "_trial",
         "_turned_away",
         "_turned_away_s",
-        "entry_leaves",
+        "entry_draining",
         "failures",
         "lost",
     )
 
-    def __init__(self, entry_leaves: bool = False):
-        self.entry_leaves = entry_leaves
+    def __init__(self, entry_draining: bool = False):
+        self.entry_draining = entry_draining
         self.failures = 0
         self.lost = False
         self._leaves = False
@@ -100,23 +100,25 @@
     # Its own word.
 
     @property
-    def leaves(self) -> bool:
+    def draining(self) -> bool:
         """Whether its entry or an answer says that it leaves."""
-        return self.entry_leaves or self._leaves
+        return self.entry_draining or self._leaves
 
-    def hold(self, now_s: float) -> Hold | None:
+    def unavailable_reason(self, now_s: float) -> UnavailableReason | None:
         """Return why it is sent nothing now, None when it takes work."""
         if self._gone_s is not None and now_s - self._gone_s < _GONE_S:
-            return Hold.GONE
-        if self.leaves:
-            return Hold.LEAVES
-        return Hold.RESTS if now_s < self._rest_until_s else None
+            return UnavailableReason.REPLACED
+        if self.draining:
+            return UnavailableReason.DRAINING
+        return UnavailableReason.BACKOFF if now_s < self._rest_until_s else None
 
-    def rests_for_s(self, now_s: float) -> float:
+    def backoff_left_s(self, now_s: float) -> float:
         """Return for how long it still wants nothing; 0 if it has not asked for rest."""
         return max(0.0, self._rest_until_s - now_s)
 
-    def heed(self, word: EndpointWord, now_s: float, spread: float = 1.0) -> Hold | None:
+    def apply_feedback(
+        self, word: EndpointFeedback, now_s: float, spread: float = 1.0
+    ) -> UnavailableReason | None:
         """Take in what an answer says; return the hold that is news, None if nothing is.
 
         Parameters
@@ -128,32 +130,32 @@
         if word.rest_s:
             until_s = now_s + word.rest_s * spread
             if until_s > self._rest_until_s + _NEWS_S or now_s >= self._rest_until_s:
-                news = Hold.RESTS
+                news = UnavailableReason.BACKOFF
             self._rest_until_s = max(self._rest_until_s, until_s)
-        if word.leaves:
-            news = news if self._leaves else Hold.LEAVES
+        if word.draining:
+            news = news if self._leaves else UnavailableReason.DRAINING
             self._leaves = True
         return news
 
-    def note_gone(self, now_s: float) -> None:
+    def mark_replaced(self, now_s: float) -> None:
         """Note that another process answers at its address."""
         self._gone_s = now_s
 
-    def take_entry(self, leaves: bool) -> None:
+    def apply_entry(self, draining: bool) -> None:
         """Take in a later version of its entry."""
-        self.entry_leaves = leaves
+        self.entry_draining = draining
         self._gone_s = None
 
     # What this router guesses.
 
-    def is_trusted(self, now_s: float, in_flight: int) -> bool:
+    def is_healthy(self, now_s: float, in_flight: int) -> bool:
         """Tell whether it need not be put last: it has not just failed, and none advises so."""
         if self._gone_s is not None or now_s < max(self._doubted_until_s, self._advised_until_s):
             return False
         # After a while one request at a time tries whether the endpoint is back.
         return not (self._trial and in_flight)
 
-    def turned_away(self, now_s: float, spread: float = 1.0) -> None:
+    def rejected(self, now_s: float, spread: float = 1.0) -> None:
         """Note that it turned a request away: it may well do so with the next.
 
         What turns all away has the most free places, and would draw the most.
@@ -168,12 +170,12 @@
         if sent_s > self._turned_away_s:
             self._turned_away = 0
 
-    def take_advice(self, leaves: bool, rest_s: float, now_s: float) -> None:
+    def apply_peer_feedback(self, draining: bool, rest_s: float, now_s: float) -> None:
         """Take in what the endpoint said to another router."""
-        lasts_s = _ADVICE_S if leaves else rest_s
+        lasts_s = _ADVICE_S if draining else rest_s
         self._advised_until_s = max(self._advised_until_s, now_s + lasts_s)
 
-    def doubted_for_s(self, now_s: float) -> float:
+    def suspected_for_s(self, now_s: float) -> float:
         """Return for how long it is put last after failures."""
         return max(0.0, self._doubted_until_s - now_s)
 
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from turnward.gateway.availability import Availability, Hold
+from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.configuration import EndpointEntry, EngineTraits, WarmUpTraits
 from turnward.gateway.dialect import Dialect
+from turnward.gateway.endpoint_feedback import parse_feedback
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.endpoint_word import read_word
 from turnward.gateway.engine_speed import EventGaps, SpeedClass, next_speed_class, usual_gaps
 from turnward.gateway.outcomes import Reason
 from turnward.gateway.peer_book import EndpointLoad
@@ -193,7 +193,7 @@
         self._dialect = dialect or Dialect()
         #: Called with record, hold and the answer's headers when an answer says that its endpoint
         #: is to be sent nothing.
-        self.on_feedback: Callable[[EndpointRecord, Hold, HeaderList], None]
+        self.on_feedback: Callable[[EndpointRecord, UnavailableReason, HeaderList], None]
         self.on_feedback = _told_nobody
         #: Called with record, limit and the answer's headers when an answer names another rate
         #: limit, or none (None) any more.
@@ -218,7 +218,7 @@
             else:
                 record.lapsed_s = None
                 if entry != record.entry:
-                    record.availability.take_entry(entry.leaving)
+                    record.availability.apply_entry(entry.leaving)
                 if entry.cold_left_s != record.entry.cold_left_s:
                     record.warm_up.note_cold(entry.cold_left_s)
                 record.entry = entry
@@ -243,7 +243,7 @@
             missing = [
                 record
                 for record in records
-                if record.endpoint_id not in entries and not record.availability.leaves
+                if record.endpoint_id not in entries and not record.availability.draining
             ]
             many = store_was_away and len(missing) >= max(
                 _LAPSED_LEAST, _LAPSED_SHARE * len(records)
@@ -284,15 +284,15 @@
         if left is not None and left.address == entry.address:
             # What it said holds on, though its entry lapsed with the store meanwhile.
             record.availability = left.availability
-            record.availability.entry_leaves = entry.leaving
+            record.availability.entry_draining = entry.leaving
 
     def _head_received(self, record: EndpointRecord, status: int, headers: HeaderList) -> None:
         """Take in what an endpoint says of itself in the head of any answer."""
-        word = read_word(status, headers, self._dialect)
+        word = parse_feedback(status, headers, self._dialect)
         if word is None:
             return
         spread = self._draw.uniform(1.0, _REST_SPREAD)
-        news = record.availability.heed(word, self._clock(), spread)
+        news = record.availability.apply_feedback(word, self._clock(), spread)
         if news is not None:
             self.on_feedback(record, news, headers)
         if word.limit_per_s is None or self._limits is None:
@@ -307,20 +307,20 @@
         """
         if self._limits is None or header_values(headers, self._dialect.limit):
             return
-        if self._limits.name_none(record.incarnation, sent_s):
+        if self._limits.note_unlimited(record.incarnation, sent_s):
             self.on_rate_limit(record, None, headers)
 
-    def claim_send(self, record: EndpointRecord) -> Hold | None:
+    def claim_send(self, record: EndpointRecord) -> UnavailableReason | None:
         """Note that a request is about to leave; return why it must not, None if it may.
 
         Asked right before the first byte: while a connection was being opened, the endpoint may
         have spoken, and others of this router's requests may have left.
         """
-        hold = record.availability.hold(self._clock())
-        if hold is not None or self._limits is None:
-            return hold
+        unavailable_reason = record.availability.unavailable_reason(self._clock())
+        if unavailable_reason is not None or self._limits is None:
+            return unavailable_reason
         if self._limits.opens_in_s(record.incarnation) > 0:
-            return Hold.LIMITED
+            return UnavailableReason.RATE_LIMITED
         self._limits.note_sent(record.incarnation)
         return None
 
@@ -363,7 +363,7 @@
         found = [
             record
             for record in self._by_pool.get(pool, ())
-            if record.availability.hold(now_s) is None
+            if record.availability.unavailable_reason(now_s) is None
             and record.incarnation not in excluded
             and self._stands(record, now_s)
             and self._is_within_limit(record)
@@ -407,7 +407,8 @@
             self._wait_for(record, now_s)
             for record in self._by_pool.get(pool, ())
             if self._stands(record, now_s)
-            and record.availability.hold(now_s) not in (Hold.GONE, Hold.LEAVES)
+            and record.availability.unavailable_reason(now_s)
+            not in (UnavailableReason.REPLACED, UnavailableReason.DRAINING)
         ]
         first = min(waits, key=lambda wait: wait.opens_in_s, default=_NEVER)
         return first if first.opens_in_s > 0 else None
@@ -417,7 +418,7 @@
         limited = self._limits is not None and not self._is_within_limit(record)
         limited_for_s = self._limits.callers_wait_s(record.incarnation) if limited else 0.0
         waits = (
-            PoolShortage(Reason.ENDPOINTS_RESTING, record.availability.rests_for_s(now_s)),
+            PoolShortage(Reason.ENDPOINTS_RESTING, record.availability.backoff_left_s(now_s)),
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
             PoolShortage(Reason.ENDPOINTS_LIMITED, limited_for_s),
         )
@@ -506,7 +507,7 @@
         )
 
     def _is_trusted(self, record: EndpointRecord, now_s: float) -> bool:
-        return not self._rule.rests or record.availability.is_trusted(now_s, record.in_flight)
+        return not self._rule.rests or record.availability.is_healthy(now_s, record.in_flight)
 
     def _service_cost_ms(self, record: EndpointRecord, loads) -> float:
         load = loads.get(record.incarnation)
--- a/turnward/gateway/endpoint_word.py
+++ b/turnward/gateway/endpoint_feedback.py
@@ -11,7 +11,7 @@
 from turnward.gateway.dialect import Dialect
 from turnward.http1 import HeaderList, header_values
 
-__all__ = ["EndpointWord", "parse_limit_per_s", "parse_rest_s", "read_word"]
+__all__ = ["EndpointFeedback", "parse_limit_per_s", "parse_retry_after_s", "parse_feedback"]
 
 #: Statuses whose ``Retry-After`` tells for how long the endpoint wants nothing (RFC 9110, 10.2.3;
 #: RFC 6585, 4).
@@ -24,7 +24,7 @@
 _DECIMAL = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
 
 
-class EndpointWord(msgspec.Struct, frozen=True):
+class EndpointFeedback(msgspec.Struct, frozen=True):
     """What one answer says of the endpoint.
 
     Attributes
@@ -37,30 +37,32 @@
         The requests a second that it takes from all routers together; None when it names no limit.
     """
 
-    leaves: bool = False
+    draining: bool = False
     rest_s: float = 0.0
     limit_per_s: float | None = None
 
 
-_NO_WORD = EndpointWord()
+_NO_WORD = EndpointFeedback()
 
 
-def read_word(status: int, headers: HeaderList, dialect: Dialect) -> EndpointWord | None:
+def parse_feedback(status: int, headers: HeaderList, dialect: Dialect) -> EndpointFeedback | None:
     """Return what an answer's head says of its endpoint, None when it says nothing.
 
     Examples
     --------
-    >>> read_word(503, [(b"retry-after", b"1.5")], Dialect()).rest_s
+    >>> parse_feedback(503, [(b"retry-after", b"1.5")], Dialect()).rest_s
     1.5
-    >>> read_word(200, [(b"retry-after", b"1.5")], Dialect()) is None
+    >>> parse_feedback(200, [(b"retry-after", b"1.5")], Dialect()) is None
     True
     """
     if status == _OTHER_ENDPOINT:
         return None
     said = header_values(headers, dialect.leaving)
-    leaves = any(value.strip() == b"1" for value in said)
-    rest_s = parse_rest_s(headers) if status in _REST_STATUSES else 0.0
-    word = EndpointWord(leaves, rest_s, parse_limit_per_s(header_values(headers, dialect.limit)))
+    draining = any(value.strip() == b"1" for value in said)
+    rest_s = parse_retry_after_s(headers) if status in _REST_STATUSES else 0.0
+    word = EndpointFeedback(
+        draining, rest_s, parse_limit_per_s(header_values(headers, dialect.limit))
+    )
     return None if word == _NO_WORD else word
 
 
@@ -80,7 +82,7 @@
     return min((float(value) for value in stripped if _DECIMAL.fullmatch(value)), default=None)
 
 
-def parse_rest_s(headers: HeaderList) -> float:
+def parse_retry_after_s(headers: HeaderList) -> float:
     """Return the seconds that ``Retry-After`` asks for; 0 when it is missing or unreadable.
 
     Of several the longest counts. A date counts from the answer's own ``Date``, never from a clock
@@ -88,9 +90,9 @@
 
     Examples
     --------
-    >>> parse_rest_s([(b"retry-after", b"2"), (b"retry-after", b"0.5")])
+    >>> parse_retry_after_s([(b"retry-after", b"2"), (b"retry-after", b"0.5")])
     2.0
-    >>> parse_rest_s([(b"retry-after", b"-3")])
+    >>> parse_retry_after_s([(b"retry-after", b"-3")])
     0.0
     """
     dates = header_values(headers, b"date")
--- a/turnward/gateway/endpoint_news.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -3,19 +3,19 @@
 
 from collections.abc import Callable
 
-from turnward.gateway.availability import Hold
+from turnward.gateway.availability import UnavailableReason
 from turnward.gateway.choice import EndpointBook
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_record import EndpointRecord
 from turnward.gateway.engine_speed import EventGaps
+from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
 from turnward.gateway.state import FleetState
-from turnward.gateway.word_news import ToldWord, WordNews
 from turnward.http1 import HeaderList, header_value
 
-__all__ = ["EndpointNews"]
+__all__ = ["EndpointReporter"]
 
 
-class EndpointNews:
+class EndpointReporter:
     """Told of each change of what this router takes an endpoint for.
 
     Parameters
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    words : WordNews
+    words : FeedbackExchange
         What endpoints said of leaving and rest, here and to others.
     """
 
@@ -52,9 +52,9 @@
         self._dialect = dialect
         self._metrics = metrics
         self._log = log
-        self.words = WordNews(clock, self.note_told_word)
+        self.words = FeedbackExchange(clock, self.handle_peer_feedback)
 
-    def note_pace_class(self, record: EndpointRecord, pace: EventGaps, usual: EventGaps) -> None:
+    def report_speed_class(self, record: EndpointRecord, pace: EventGaps, usual: EventGaps) -> None:
         """Tell of an engine that is faster or slower than it was, beside the others of its pool."""
         self._log.belief(
             "endpoint.pace",
@@ -66,11 +66,13 @@
             usual_held_up_ms=round(usual.held_up_gap_ms, 1),
         )
 
-    def note_word(self, record: EndpointRecord, hold: Hold, answer_headers: HeaderList) -> None:
+    def report_feedback(
+        self, record: EndpointRecord, hold: UnavailableReason, answer_headers: HeaderList
+    ) -> None:
         """Tell of what an endpoint said in an answer."""
         availability = record.availability
-        rest_s = availability.rests_for_s(self._clock())
-        self.words.note(record.incarnation, availability.leaves, rest_s)
+        rest_s = availability.backoff_left_s(self._clock())
+        self.words.note(record.incarnation, availability.draining, rest_s)
         self._metrics.endpoint_words.labels(record.entry.pool, hold).inc()
         request_id = header_value(answer_headers, self._dialect.request_id) or b""
         self._log.belief(
@@ -83,7 +85,7 @@
             endpoints=self._state.endpoints_version,
         )
 
-    def note_rate_limit(
+    def report_rate_limit(
         self, record: EndpointRecord, per_s: float | None, answer_headers: HeaderList
     ) -> None:
         """Tell of a rate that an endpoint named in an answer, or names no more."""
@@ -97,21 +99,21 @@
             endpoints=self._state.endpoints_version,
         )
 
-    def note_told_limit(self, incarnation: str, per_s: float | None) -> None:
+    def report_peer_rate_limit(self, incarnation: str, per_s: float | None) -> None:
         """Tell of a rate that an endpoint named to another router, or names no more."""
         self._log.belief("endpoint.told_limit", endpoint=incarnation, limit_per_s=per_s)
 
-    def note_told_word(self, word: ToldWord) -> None:
+    def handle_peer_feedback(self, word: FeedbackUpdate) -> None:
         """Put an endpoint last of which another router tells that it leaves or wants rest."""
         record = self._endpoints.get(word.endpoint)
         if record is None:
             return
         rest_s = word.rest_left_ms / 1_000
-        record.availability.take_advice(word.leaves, rest_s, self._clock())
+        record.availability.apply_peer_feedback(word.draining, rest_s, self._clock())
         self._log.belief(
             "endpoint.told_of",
             endpoint=word.endpoint,
             pool=record.entry.pool,
-            leaves=word.leaves,
+            leaves=word.draining,
             rest_s=round(rest_s, 3),
         )
--- a/turnward/gateway/word_news.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-__all__ = ["ToldWord", "WordNews"]
+__all__ = ["FeedbackUpdate", "FeedbackExchange"]
 
 #: Seconds for which a word is told after it was learnt: many rounds of messages, most of which may
 #: be lost.
@@ -25,7 +25,7 @@
 _LATER_S = 0.5
 
 
-class ToldWord(msgspec.Struct, frozen=True, array_like=True):
+class FeedbackUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What an endpoint said to some router.
 
     Attributes
@@ -39,19 +39,19 @@
     """
 
     endpoint: str
-    leaves: bool
+    draining: bool
     rest_left_ms: int
 
 
 class _Known(msgspec.Struct):
     """A word, by the own clock."""
 
-    leaves: bool = False
+    draining: bool = False
     rest_until_s: float = 0.0
     learnt_s: float = 0.0
 
 
-class WordNews:
+class FeedbackExchange:
     """The words that one router has heard, from endpoints and from other routers.
 
     Parameters
@@ -59,35 +59,35 @@
     clock : callable
         Steady clock in seconds.
     on_told : callable
-        Called with each ``ToldWord`` of another router that is news.
+        Called with each ``FeedbackUpdate`` of another router that is news.
 
     Examples
     --------
-    >>> news = WordNews(lambda: 0.0, print)
+    >>> news = FeedbackExchange(lambda: 0.0, print)
     >>> news.note("e-1", leaves=False, rest_s=2.0)
     >>> news.words()
-    (ToldWord(endpoint='e-1', leaves=False, rest_left_ms=2000),)
-    >>> news.take_in([ToldWord("e-1", False, 1_900), ToldWord("e-2", True, 0)])
-    ToldWord(endpoint='e-2', leaves=True, rest_left_ms=0)
+    (FeedbackUpdate(endpoint='e-1', leaves=False, rest_left_ms=2000),)
+    >>> news.take_in([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
+    FeedbackUpdate(endpoint='e-2', leaves=True, rest_left_ms=0)
     """
 
-    def __init__(self, clock: Callable[[], float], on_told: Callable[[ToldWord], None]):
+    def __init__(self, clock: Callable[[], float], on_told: Callable[[FeedbackUpdate], None]):
         self._clock = clock
         self._on_told = on_told
         #: In the order in which something was last learnt.
         self._known: OrderedDict[str, _Known] = OrderedDict()
 
-    def note(self, endpoint: str, leaves: bool, rest_s: float) -> None:
+    def note(self, endpoint: str, draining: bool, rest_s: float) -> None:
         """Note what an endpoint said to this router."""
-        self._learn(endpoint, leaves, rest_s)
+        self._learn(endpoint, draining, rest_s)
 
-    def take_in(self, words: Iterable[ToldWord]) -> None:
+    def take_in(self, words: Iterable[FeedbackUpdate]) -> None:
         """Take in what another router tells."""
         for word in words:
-            if self._learn(word.endpoint, word.leaves, word.rest_left_ms / 1_000):
+            if self._learn(word.endpoint, word.draining, word.rest_left_ms / 1_000):
                 self._on_told(word)
 
-    def words(self) -> tuple[ToldWord, ...]:
+    def words(self) -> tuple[FeedbackUpdate, ...]:
         """Return what others are told: what was learnt lately, the newest first."""
         now_s = self._clock()
         told = []
@@ -95,19 +95,19 @@
             if known.learnt_s < now_s - _NEWS_S or len(told) == _TOLD_LIMIT:
                 break
             rest_left_ms = max(0, round((known.rest_until_s - now_s) * 1_000))
-            if known.leaves or rest_left_ms:
-                told.append(ToldWord(endpoint, known.leaves, rest_left_ms))
+            if known.draining or rest_left_ms:
+                told.append(FeedbackUpdate(endpoint, known.draining, rest_left_ms))
         return tuple(told)
 
-    def _learn(self, endpoint: str, leaves: bool, rest_s: float) -> bool:
+    def _learn(self, endpoint: str, draining: bool, rest_s: float) -> bool:
         """Take in a word; False when it was known."""
         now_s = self._clock()
         known = self._known.setdefault(endpoint, _Known())
         until_s = now_s + rest_s
         longer = rest_s > 0 and until_s > known.rest_until_s + _LATER_S
-        if not longer and (known.leaves or not leaves):
+        if not longer and (known.draining or not draining):
             return False
-        known.leaves = known.leaves or leaves
+        known.draining = known.draining or draining
         known.rest_until_s = max(known.rest_until_s, until_s if rest_s else 0.0)
         known.learnt_s = now_s
         self._known.move_to_end(endpoint)
--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -8,8 +8,8 @@
 import msgspec
 from twisted.internet import defer, task
 
-from turnward.gateway.departures import WRITTEN_AGAIN_S
 from turnward.gateway.overlay import Overlay
+from turnward.gateway.removed_endpoints import REWRITE_PERIOD_S
 from turnward.gateway.state import FleetState
 from turnward.rows import (
     HistoryGoneError,
@@ -342,13 +342,13 @@
         """Read the table once more some seconds after the store came back from an older copy."""
         era = RowVersion(version).era
         if self._era is not None and era > self._era:
-            self._settles_s = self._reactor.seconds() + WRITTEN_AGAIN_S
+            self._settles_s = self._reactor.seconds() + REWRITE_PERIOD_S
         self._era = era
 
     def _note_older(self, version: int) -> None:
         """Read the table once more later where peers told of what was said in an earlier era."""
         if self._settles_s is None and self._listener.knows_before(version):
-            self._settles_s = self._reactor.seconds() + WRITTEN_AGAIN_S
+            self._settles_s = self._reactor.seconds() + REWRITE_PERIOD_S
 
     async def _pause_where_gone_again(self) -> None:
         """Wait where reading the table did not help: asked at once, the store has no rest."""
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -12,7 +12,7 @@
 
 from turnward.admission import AdmissionRule
 from turnward.gateway.attempt import EndpointAttempt
-from turnward.gateway.availability import Hold
+from turnward.gateway.availability import UnavailableReason
 from turnward.gateway.choice import EndpointBook, EndpointChoice
 from turnward.gateway.configuration import Route, Workspace
 from turnward.gateway.dialect import Dialect
@@ -22,8 +22,8 @@
 from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.progress import StreamProgress
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
-from turnward.gateway.retries import RepeatAllowance, RepeatRule
-from turnward.gateway.return_times import ReturnTimes
+from turnward.gateway.retries import RetryBudgetRule, RetryBudgetShare
+from turnward.gateway.retry_after import RetryAfterEstimator
 from turnward.gateway.state import FleetState
 from turnward.hashing import fingerprint
 from turnward.http1 import (
@@ -67,7 +67,7 @@
         route or key is not taken for the caller's fault.
     """
 
-    repeats: RepeatRule = RepeatRule()
+    repeats: RetryBudgetRule = RetryBudgetRule()
     looks_for_others: bool = True
     stale_after_s: float = 3.0
     retry_after_s: float = 0.25
@@ -134,9 +134,11 @@
         self.never_forwarded = dialect.never_forwarded
         self.refusing = False
         self.open: set[Forwarding] = set()
-        self._allowances: dict[str, RepeatAllowance] = {}
+        self._allowances: dict[str, RetryBudgetShare] = {}
         self.entry = PoolAdmission(rules.admission, state, endpoints)
-        self.return_times = ReturnTimes(reactor.seconds, endpoints, draw, rules.retry_after_s)
+        self.return_times = RetryAfterEstimator(
+            reactor.seconds, endpoints, draw, rules.retry_after_s
+        )
 
     def handle(self, request: InboundRequest) -> None:
         """Take a request."""
@@ -150,11 +152,11 @@
         for run in record.abandoned.take(self.reactor.seconds()):
             self.quarantine.note_lost(run.content, record.incarnation, run.sent_s)
 
-    def allowance(self, pool: str) -> RepeatAllowance:
+    def allowance(self, pool: str) -> RetryBudgetShare:
         """Return this router's part of the budget of repeats towards a pool."""
         allowance = self._allowances.get(pool)
         if allowance is None:
-            allowance = RepeatAllowance(self.rules.repeats, self.reactor.seconds)
+            allowance = RetryBudgetShare(self.rules.repeats, self.reactor.seconds)
             self._allowances[pool] = allowance
         return allowance
 
@@ -451,7 +453,7 @@
         else:
             self._give_up(reason)
 
-    def attempt_held(self, attempt: "EndpointAttempt", hold: Hold) -> None:
+    def attempt_held(self, attempt: "EndpointAttempt", hold: UnavailableReason) -> None:
         """Note that an endpoint said, before anything was sent, that it is to be sent nothing."""
         self._attempt_unsent(attempt, "held", hold=hold)
 
--- a/turnward/gateway/overlay.py
+++ b/turnward/gateway/overlay.py
@@ -16,6 +16,7 @@
 
 import msgspec
 
+from turnward.gateway.feedback_exchange import FeedbackUpdate
 from turnward.gateway.peer_book import (
     DIGEST_LAYOUT,
     Digest,
@@ -24,7 +25,6 @@
     sum_loads,
 )
 from turnward.gateway.rate_limit import ToldLimit
-from turnward.gateway.word_news import ToldWord
 from turnward.gateway.zone_orders import ZoneOrder
 from turnward.hashing import rendezvous_weight
 from turnward.quarantine import NO_WORD, QuarantineWord
@@ -75,7 +75,7 @@
         Which zones operators want drained, as the aggregator knows; None when it does not.
     quarantine : QuarantineWord
         Runs that were lost with their endpoints, as far as the aggregator knows.
-    words : tuple of ToldWord
+    words : tuple of FeedbackUpdate
         Which endpoints leave or want rest, as the aggregator was told lately.
     limits : tuple of ToldLimit
         The rates that endpoints named lately, as far as the aggregator knows.
@@ -93,7 +93,7 @@
     loads: tuple[EndpointLoad, ...] = ()
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineWord = NO_WORD
-    words: tuple[ToldWord, ...] = ()
+    words: tuple[FeedbackUpdate, ...] = ()
     limits: tuple[ToldLimit, ...] = ()
     endpoints_era: int = 0
 
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from turnward.gateway.account_updates import AccountUpdate
+from turnward.gateway.feedback_exchange import FeedbackUpdate
 from turnward.gateway.loans import LoanOffer
 from turnward.gateway.rate_limit import ToldLimit
-from turnward.gateway.word_news import ToldWord
 from turnward.gateway.zone_orders import ZoneOrder
 from turnward.quarantine import NO_WORD, QuarantineWord
 from turnward.rows import RowVersion
@@ -108,7 +108,7 @@
         Which zones operators want drained; None when it does not know.
     quarantine : QuarantineWord
         Runs that were lost with their endpoints, as far as it knows.
-    words : tuple of ToldWord
+    words : tuple of FeedbackUpdate
         Which endpoints leave or want rest, as it was told lately.
     limits : tuple of ToldLimit
         The rates that endpoints named lately, as far as it knows.
@@ -131,7 +131,7 @@
     link_mbit_per_s: float = 0.0
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineWord = NO_WORD
-    words: tuple[ToldWord, ...] = ()
+    words: tuple[FeedbackUpdate, ...] = ()
     limits: tuple[ToldLimit, ...] = ()
     endpoints_era: int = 0
     accounts: tuple[AccountUpdate, ...] = ()
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -14,6 +14,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from turnward.gateway.configuration import ConfigurationCopy
+from turnward.gateway.feedback_exchange import FeedbackExchange
 from turnward.gateway.loans import (
     LOANS_PATH,
     RETURNS_PATH,
@@ -26,7 +27,6 @@
 from turnward.gateway.peer_book import DIGEST_LAYOUT, OLDEST_DIGEST_LAYOUT, Digest, PeerBook
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.state import EndpointsSnapshot, FleetState
-from turnward.gateway.word_news import WordNews
 from turnward.http1 import Http1Error, HttpCaller, InboundRequest
 from turnward.quarantine import Quarantine
 from turnward.rows import RowVersion
@@ -131,7 +131,7 @@
         Tells whether tokens are short here and what can be spared, and lends.
     quarantine : Quarantine
         What it suspects is told, and it takes in what others suspect.
-    word_news : WordNews
+    word_news : FeedbackExchange
         What endpoints said here is told, and it takes in what they said to others.
     limits : RateLimits
         The rates that endpoints named here are told, and it takes in what they named to others.
@@ -150,7 +150,7 @@
         loads,
         accounts,
         quarantine: Quarantine,
-        word_news: WordNews,
+        word_news: FeedbackExchange,
         limits: RateLimits,
         log,
         draw: random.Random,
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -14,7 +14,7 @@
 from turnward.gateway.configuration import WarmUpTraits
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.end_reserve import EndReserveRule
-from turnward.gateway.endpoint_news import EndpointNews
+from turnward.gateway.endpoint_reporter import EndpointReporter
 from turnward.gateway.feeds import (
     FeedListenerBase,
     FeedPaceBase,
@@ -38,7 +38,7 @@
 from turnward.gateway.quarantine_rows import QuarantineRows
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.refused_rows import RefusedRow
-from turnward.gateway.retries import RepeatRule
+from turnward.gateway.retries import RetryBudgetRule
 from turnward.gateway.settings import GatewaySettings
 from turnward.gateway.sources import MembersListener
 from turnward.gateway.state import FleetState
@@ -199,12 +199,12 @@
             dialect,
             self._limits,
         )
-        news = EndpointNews(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
+        news = EndpointReporter(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
         self._word_news = news.words
-        self._limits.on_told = news.note_told_limit
-        self.endpoints.on_speed_class = news.note_pace_class
-        self.endpoints.on_feedback = news.note_word
-        self.endpoints.on_rate_limit = news.note_rate_limit
+        self._limits.on_peer_limit = news.report_peer_rate_limit
+        self.endpoints.on_speed_class = news.report_speed_class
+        self.endpoints.on_feedback = news.report_feedback
+        self.endpoints.on_rate_limit = news.report_rate_limit
         self.holders = RendezvousHolders(self.book, reactor.seconds, settings.budget_holders)
         self.accounts = PrepaidAccounts(
             reactor,
@@ -324,9 +324,11 @@
 
     def _make_forwarder(self) -> Forwarder:
         settings = self._settings
-        repeats = RepeatRule(settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack)
+        repeats = RetryBudgetRule(
+            settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack
+        )
         if not settings.mechanisms.repeats:
-            repeats = RepeatRule(0.0, settings.repeat_window_s, 0.0)
+            repeats = RetryBudgetRule(0.0, settings.repeat_window_s, 0.0)
         admission = AdmissionRule() if settings.mechanisms.admission else AdmissionRule(shares=())
         rules = ForwardingRules(
             repeats=repeats,
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -38,7 +38,7 @@
         #: By incarnation, in the order in which one was first named.
         self._limits: OrderedDict[str, RateLimit] = OrderedDict()
         #: Called with incarnation and limit (None: lifted) when another router tells of a change.
-        self.on_told: Callable[[str, float | None], None] = _told_nobody
+        self.on_peer_limit: Callable[[str, float | None], None] = _told_nobody
 
     # What endpoints say.
 
@@ -46,7 +46,7 @@
         """Take in what an answer names; True when that changes the limit."""
         return self._of(incarnation).hear(per_s, self._clock())
 
-    def name_none(self, incarnation: str, sent_s: float) -> bool:
+    def note_unlimited(self, incarnation: str, sent_s: float) -> bool:
         """Take in an answer that names no limit; True when that lifts one."""
         limit = self._limits.get(incarnation)
         return limit is not None and limit.hear_none(sent_s, self._clock())
@@ -125,7 +125,7 @@
             if one.per_s is None and one.endpoint not in self._limits:
                 continue
             if self._of(one.endpoint).hear_told(one, now_s):
-                self.on_told(one.endpoint, one.per_s)
+                self.on_peer_limit(one.endpoint, one.per_s)
 
 
 def _told_nobody(incarnation: str, per_s: float | None) -> None:
--- a/turnward/gateway/departures.py
+++ b/turnward/gateway/removed_endpoints.py
@@ -11,15 +11,15 @@
 
 from turnward.gateway.configuration import EndpointEntry
 
-__all__ = ["WRITTEN_AGAIN_S", "Departures"]
+__all__ = ["REWRITE_PERIOD_S", "RemovedEndpoints"]
 
 #: Seconds after a return within which operators and endpoints have written anew what was lost.
-WRITTEN_AGAIN_S = 5.0
+REWRITE_PERIOD_S = 5.0
 #: Seconds for which it is remembered that an endpoint left: older than any copy of the store.
 _REMEMBERED_S = 30.0
 
 
-class Departures:
+class RemovedEndpoints:
     """Remembers which endpoints left, and holds on to that over a return of the store.
 
     Examples
@@ -27,10 +27,10 @@
     >>> entry = EndpointEntry(endpoint_id="e", pool="p", address="10.0.0.1:80")
     >>> departures = Departures()
     >>> departures.note({"e": entry}, {}, now_s=10.0)
-    >>> departures.note_return(12.0)
-    >>> departures.held_over({"e": entry}, now_s=13.0)["e"].leaving
+    >>> departures.begin_return(12.0)
+    >>> departures.mark_draining({"e": entry}, now_s=13.0)["e"].leaving
     True
-    >>> departures.held_over({"e": entry}, now_s=18.0)["e"].leaving
+    >>> departures.mark_draining({"e": entry}, now_s=18.0)["e"].leaving
     False
     """
 
@@ -56,20 +56,20 @@
             name: left_s for name, left_s in self._left_s.items() if now_s - left_s < _REMEMBERED_S
         }
 
-    def note_return(self, now_s: float) -> None:
+    def begin_return(self, now_s: float) -> None:
         """Note that the store came back from a copy."""
-        self._held_until_s = now_s + WRITTEN_AGAIN_S
+        self._held_until_s = now_s + REWRITE_PERIOD_S
 
-    def note_written(self, entries: Iterable[EndpointEntry]) -> None:
+    def mark_rewritten(self, entries: Iterable[EndpointEntry]) -> None:
         """Take in entries that were written after the return: they hold as they are."""
         for entry in entries:
             self._left_s.pop(entry.incarnation, None)
 
-    def note_settled(self) -> None:
+    def clear_return(self) -> None:
         """Note that all has been written anew."""
         self._held_until_s = 0.0
 
-    def held_over(
+    def mark_draining(
         self, entries: dict[str, EndpointEntry], now_s: float
     ) -> dict[str, EndpointEntry]:
         """Return entries with those marked as leaving that left before the return."""
--- a/turnward/gateway/retries.py
+++ b/turnward/gateway/retries.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-__all__ = ["RepeatAllowance", "RepeatRule"]
+__all__ = ["RetryBudgetShare", "RetryBudgetRule"]
 
 #: Part of what is allowed that is used, as windows of different routers differ.
 _SAFETY = 0.8
 
 
-class RepeatRule(msgspec.Struct, frozen=True):
+class RetryBudgetRule(msgspec.Struct, frozen=True):
     """How many repeats the fleet may send to one pool in a window."""
 
     ratio: float = 0.2
@@ -25,17 +25,17 @@
     slack: float = 50.0
 
 
-class RepeatAllowance:
+class RetryBudgetShare:
     """One router's part of the budget towards one pool.
 
     Examples
     --------
-    >>> allowance = RepeatAllowance(RepeatRule(0.5, 10.0, 2.5), lambda: 0.0)
+    >>> allowance = RetryBudgetShare(RetryBudgetRule(0.5, 10.0, 2.5), lambda: 0.0)
     >>> allowance.take(routers=1), allowance.take(routers=1), allowance.take(routers=1)
     (True, True, False)
     """
 
-    def __init__(self, rule: RepeatRule, clock: Callable[[], float]):
+    def __init__(self, rule: RetryBudgetRule, clock: Callable[[], float]):
         self._rule = rule
         self._clock = clock
         self._requests: deque[float] = deque()
--- a/turnward/gateway/return_times.py
+++ b/turnward/gateway/retry_after.py
@@ -9,7 +9,7 @@
 from turnward.gateway.choice import EndpointBook
 from turnward.gateway.outcomes import Reason
 
-__all__ = ["ReturnTimes"]
+__all__ = ["RetryAfterEstimator"]
 
 #: By what the time to come back is scaled when a pool refuses, so that callers do not all come at
 #: the same moment. Cold endpoints bear some requests before they are warm; others bear none before
@@ -23,7 +23,7 @@
 }
 
 
-class ReturnTimes:
+class RetryAfterEstimator:
     """When another try may be served, by why and where one was refused.
 
     Parameters
--- a/turnward/gateway/sources.py
+++ b/turnward/gateway/sources.py
@@ -50,7 +50,7 @@
 
     def knows_before(self, version: int) -> bool:
         """See ``FeedListenerBase.knows_before``."""
-        return self._state.zone_orders.stand_from_before(RowVersion(version).era)
+        return self._state.zone_orders.has_orders_before(RowVersion(version).era)
 
     def table_read(self, table: TableChanges) -> None:
         """See ``FeedListenerBase.table_read``; orders that are not there have ended."""
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from turnward.gateway.configuration import Configuration, EndpointEntry, RouteTable
-from turnward.gateway.departures import Departures
 from turnward.gateway.refused_rows import RefusedRows
+from turnward.gateway.removed_endpoints import RemovedEndpoints
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 from turnward.rows import RowVersion
 
@@ -71,7 +71,7 @@
         self.endpoints: dict[str, EndpointEntry] = {}
         self.endpoints_version = RowVersion(0)
         self.confirmed_s: float | None = None
-        self._departures = Departures()
+        self._departures = RemovedEndpoints()
         self.zone_orders = ZoneOrders()
         self.zone_orders_known = False
 
@@ -113,7 +113,7 @@
 
     def adopt_zone_orders(self, orders: Iterable[ZoneOrder], source: str) -> None:
         """Take in orders that are newer than known ones."""
-        if self.zone_orders.take_in(orders):
+        if self.zone_orders.merge(orders):
             self._tell("zone_orders", source)
 
     def adopt_standing_orders(
@@ -127,7 +127,7 @@
         if provisional:
             self.adopt_zone_orders(orders, source)
             return
-        if self.zone_orders.take_in_table(orders, version):
+        if self.zone_orders.merge_table(orders, version):
             self._tell("zone_orders", source)
 
     def adopt_told_orders(self, orders: tuple[ZoneOrder, ...] | None, source: str) -> None:
@@ -162,12 +162,12 @@
             return False
         now_s = self._clock()
         if known and snapshot.era > known.era:
-            self._departures.note_return(now_s)
+            self._departures.begin_return(now_s)
         if settled:
-            self._departures.note_settled()
+            self._departures.clear_return()
         entries = {entry.endpoint_id: self._newer(entry) for entry in snapshot.entries}
-        self._departures.note_written(entries[name] for name in written if name in entries)
-        entries = self._departures.held_over(entries, now_s)
+        self._departures.mark_rewritten(entries[name] for name in written if name in entries)
+        entries = self._departures.mark_draining(entries, now_s)
         self._departures.note(self.endpoints, entries, now_s)
         changed = entries != self.endpoints
         self.endpoints = entries
--- a/turnward/gateway/tests/word_plays.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -7,7 +7,7 @@
 
 from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, answered
 
-__all__ = ["SpeakingEndpoint", "WordPlay", "most_within"]
+__all__ = ["SimulatedEndpoint", "WordPlay", "most_within"]
 
 #: Seconds after a word within which sends may still arrive that were on their way.
 ON_ITS_WAY_S = 0.5
@@ -22,7 +22,7 @@
     router: str
 
 
-class SpeakingEndpoint:
+class SimulatedEndpoint:
     """An endpoint whose answers tell what it wants.
 
     Attributes
@@ -44,7 +44,7 @@
 
     def __init__(self, play: "WordPlay", zone: str = "z"):
         self._play = play
-        self.leaves = False
+        self.draining = False
         self.rest_s = 0.0
         self.sheds = False
         self.limit_per_s: float | None = None
@@ -72,14 +72,14 @@
     def _answer(self, request, router: str) -> None:
         if request.gone:
             return
-        if self.leaves:
+        if self.draining:
             self.left_s.setdefault(router, self._play.now_s)
         if self.limit_per_s is not None:
             self.limited_s.setdefault(router, self._play.now_s)
         request.answer(200, [*answer_head(request), *self._word()], b"fine")
 
     def _word(self):
-        word = [(DIALECT.leaving, b"1")] if self.leaves else []
+        word = [(DIALECT.leaving, b"1")] if self.draining else []
         if self.limit_per_s is not None:
             word.append((DIALECT.limit, b"%g" % self.limit_per_s))
         return word
@@ -134,7 +134,7 @@
 
     def __init__(self, gateways: int, endpoints: int, **fields):
         self.rig = Rig(**fields)
-        self.endpoints = [SpeakingEndpoint(self) for _ in range(endpoints)]
+        self.endpoints = [SimulatedEndpoint(self) for _ in range(endpoints)]
         self.callers: list = []
         self._starts: Counter[str] = Counter()
         self.rig.ready(gateways)
@@ -153,9 +153,9 @@
         """Note that another process runs there from now on, which has been told nothing."""
         self._starts[host] += 1
 
-    def add_endpoint(self) -> SpeakingEndpoint:
+    def add_endpoint(self) -> SimulatedEndpoint:
         """Start another endpoint."""
-        endpoint = SpeakingEndpoint(self)
+        endpoint = SimulatedEndpoint(self)
         self.endpoints.append(endpoint)
         return endpoint
 
--- a/turnward/gateway/tests/rate_limit_plays.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -16,7 +16,7 @@
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.rate_limit import RateShare
 from turnward.gateway.rate_limits import RateLimits
-from turnward.gateway.tests.word_plays import most_within
+from turnward.gateway.tests.feedback_simulation import most_within
 from turnward.hashing import rendezvous_weight
 
 __all__ = ["Fleet", "Outcome", "Play", "random_play", "stated_limit"]
@@ -220,7 +220,7 @@
             router.limits.name(endpoint, self.play.per_s)
             router.told_s.setdefault(endpoint, self.clock())
         else:
-            router.limits.name_none(endpoint, sent_s)
+            router.limits.note_unlimited(endpoint, sent_s)
 
     def _tell(self, router):
         self._at(self.clock() + _PERIOD_S, partial(self._tell, router))
@@ -323,8 +323,8 @@
 class ForgetsAtEachAnswer(RateLimits):
     """A broken variant: any answer without a limit lifts it."""
 
-    def name_none(self, incarnation, sent_s):
-        return super().name_none(incarnation, 1e9)
+    def note_unlimited(self, incarnation, sent_s):
+        return super().note_unlimited(incarnation, 1e9)
 
 
 class BySecond(RateLimits):
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -6,15 +6,15 @@
 import msgspec
 import pytest
 
-from turnward.gateway.availability import Availability, Hold
+from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.dialect import Dialect
-from turnward.gateway.endpoint_word import EndpointWord
+from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.outcomes import Reason
 from turnward.gateway.tests.test_choice import World, without
 
 DIALECT = Dialect()
 LEAVING = [(DIALECT.leaving, b"1")]
-LEAVES = EndpointWord(leaves=True)
+DRAINING = EndpointFeedback(draining=True)
 
 
 def rest(seconds):
@@ -38,36 +38,40 @@
 
 def test_strongest_word_holds_in_whatever_order_words_come():
     words = [
-        lambda one: one.heed(LEAVES, 0.0),
-        lambda one: one.heed(EndpointWord(rest_s=5.0), 0.0),
+        lambda one: one.apply_feedback(DRAINING, 0.0),
+        lambda one: one.apply_feedback(EndpointFeedback(rest_s=5.0), 0.0),
         lambda one: one.succeeded(),
-        lambda one: one.take_entry(leaves=False),
+        lambda one: one.apply_entry(draining=False),
     ]
     for order in permutations(words):
         availability = Availability()
         for word in order:
             word(availability)
-        assert availability.hold(1.0) is Hold.LEAVES
-        availability.note_gone(1.0)
-        assert availability.hold(2.0) is Hold.GONE
+        assert availability.unavailable_reason(1.0) is UnavailableReason.DRAINING
+        availability.mark_replaced(1.0)
+        assert availability.unavailable_reason(2.0) is UnavailableReason.REPLACED
 
 
 def test_shorter_wish_and_an_answer_do_not_shorten_a_rest():
     availability = Availability()
-    availability.heed(EndpointWord(rest_s=4.0), 0.0)
-    availability.heed(EndpointWord(rest_s=0.5), 1.0)
+    availability.apply_feedback(EndpointFeedback(rest_s=4.0), 0.0)
+    availability.apply_feedback(EndpointFeedback(rest_s=0.5), 1.0)
     availability.succeeded()
-    assert availability.hold(3.9) is Hold.RESTS
-    assert availability.hold(4.0) is None
+    assert availability.unavailable_reason(3.9) is UnavailableReason.BACKOFF
+    assert availability.unavailable_reason(4.0) is None
 
 
 def test_word_is_news_once():
     availability = Availability()
-    assert availability.heed(EndpointWord(rest_s=3.0), 0.0) is Hold.RESTS
-    assert availability.heed(EndpointWord(rest_s=3.0), 0.2) is None
-    assert availability.heed(EndpointWord(rest_s=3.0), 1.0) is Hold.RESTS
-    assert availability.heed(LEAVES, 1.0) is Hold.LEAVES
-    assert availability.heed(LEAVES, 2.0) is None
+    assert (
+        availability.apply_feedback(EndpointFeedback(rest_s=3.0), 0.0) is UnavailableReason.BACKOFF
+    )
+    assert availability.apply_feedback(EndpointFeedback(rest_s=3.0), 0.2) is None
+    assert (
+        availability.apply_feedback(EndpointFeedback(rest_s=3.0), 1.0) is UnavailableReason.BACKOFF
+    )
+    assert availability.apply_feedback(DRAINING, 1.0) is UnavailableReason.DRAINING
+    assert availability.apply_feedback(DRAINING, 2.0) is None
 
 
 @pytest.mark.parametrize("status", [100, 200, 429, 500, 503])
@@ -123,7 +127,7 @@
 
 
 def test_gone_ends_with_a_changed_entry(world):
-    world.book.get("e-0@1000").availability.note_gone(world.now_s)
+    world.book.get("e-0@1000").availability.mark_replaced(world.now_s)
     assert "e-0" not in chosen(world)
     changed = msgspec.structs.replace(world.entries["e-0"], slots=9)
     world.book.set_entries({**world.entries, "e-0": changed})
@@ -155,7 +159,7 @@
     for seed in range(20):
         world = World(seed=seed, born_ms=1_000)
         speak(world, "e-0", 503, rest(4.0))
-        ends.add(round(world.book.get("e-0@1000").availability.rests_for_s(0.0), 1))
+        ends.add(round(world.book.get("e-0@1000").availability.backoff_left_s(0.0), 1))
     assert min(ends) >= 4.0
     assert max(ends) <= 5.0
     assert len(ends) >= 6
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -165,10 +165,10 @@
 
 def test_endpoint_gone_from_its_address_is_excluded_and_then_a_last_resort():
     world = World(count=2)
-    world.book.get("e-0").availability.note_gone(world.now_s)
+    world.book.get("e-0").availability.mark_replaced(world.now_s)
     world.now_s += 60.0
     assert ids_chosen(world) == {"e-1"}
-    world.book.get("e-1").availability.note_gone(world.now_s)
+    world.book.get("e-1").availability.mark_replaced(world.now_s)
     assert ids_chosen(world) == {"e-0"}
     world.now_s += 9.0
     assert ids_chosen(world) == {"e-0"}
@@ -179,7 +179,7 @@
 def test_no_endpoint_is_chosen_when_all_are_known_to_be_gone():
     world = World(count=2)
     for record in world.book.all():
-        record.availability.note_gone(world.now_s)
+        record.availability.mark_replaced(world.now_s)
     assert world.choose() is None
     assert world.book.shortage("pool").reason is Reason.NO_ENDPOINT
 
--- a/turnward/gateway/tests/test_endpoint_word.py
+++ b/turnward/gateway/tests/test_endpoint_feedback.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from turnward.gateway import Dialect
-from turnward.gateway.endpoint_word import (
-    EndpointWord,
+from turnward.gateway.endpoint_feedback import (
+    EndpointFeedback,
+    parse_feedback,
     parse_limit_per_s,
-    parse_rest_s,
-    read_word,
+    parse_retry_after_s,
 )
 
 DIALECT = Dialect()
@@ -44,11 +44,11 @@
 )
 def test_rest_that_an_answer_asks_for(values, rest_s):
     headers = [ANSWERED, *((b"retry-after", value) for value in values)]
-    assert parse_rest_s(headers) == rest_s
+    assert parse_retry_after_s(headers) == rest_s
 
 
 def test_date_is_counted_from_the_answers_own_and_from_nothing_else():
-    assert parse_rest_s([(b"retry-after", b"Thu, 03 Dec 2026 10:00:04 GMT")]) == 0.0
+    assert parse_retry_after_s([(b"retry-after", b"Thu, 03 Dec 2026 10:00:04 GMT")]) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -83,23 +83,23 @@
 @given(st.lists(st.binary(max_size=40), max_size=3), st.binary(max_size=40))
 def test_no_value_raises_or_asks_for_longer_than_the_limit(values, date):
     headers = [(b"date", date), *((b"retry-after", value) for value in values)]
-    assert 0.0 <= parse_rest_s(headers) <= 3_600.0
+    assert 0.0 <= parse_retry_after_s(headers) <= 3_600.0
 
 
 @pytest.mark.parametrize(
     ("status", "headers", "word"),
     [
         (200, [], None),
-        (200, [(LEAVING, b"1")], EndpointWord(leaves=True)),
-        (100, [(LEAVING, b"1")], EndpointWord(leaves=True)),
-        (500, [(LEAVING, b" 1 ")], EndpointWord(leaves=True)),
+        (200, [(LEAVING, b"1")], EndpointFeedback(draining=True)),
+        (100, [(LEAVING, b"1")], EndpointFeedback(draining=True)),
+        (500, [(LEAVING, b" 1 ")], EndpointFeedback(draining=True)),
         (200, [(LEAVING, b"0")], None),
-        (503, [(b"retry-after", b"2")], EndpointWord(rest_s=2.0)),
-        (429, [(b"retry-after", b"2")], EndpointWord(rest_s=2.0)),
-        (503, [(b"retry-after", b"2"), (LEAVING, b"1")], EndpointWord(True, 2.0)),
+        (503, [(b"retry-after", b"2")], EndpointFeedback(rest_s=2.0)),
+        (429, [(b"retry-after", b"2")], EndpointFeedback(rest_s=2.0)),
+        (503, [(b"retry-after", b"2"), (LEAVING, b"1")], EndpointFeedback(True, 2.0)),
         (200, [(b"retry-after", b"2")], None),
-        (200, [(LIMIT, b"1.5")], EndpointWord(limit_per_s=1.5)),
-        (503, [(LIMIT, b"0")], EndpointWord(limit_per_s=0.0)),
+        (200, [(LIMIT, b"1.5")], EndpointFeedback(limit_per_s=1.5)),
+        (503, [(LIMIT, b"0")], EndpointFeedback(limit_per_s=0.0)),
         (200, [(LIMIT, b"-1")], None),
         (421, [(LIMIT, b"1.5")], None),
         # Another process answers there: what it says is not the endpoint's word.
@@ -107,4 +107,4 @@
     ],
 )
 def test_word_of_an_answer(status, headers, word):
-    assert read_word(status, headers, DIALECT) == word
+    assert parse_feedback(status, headers, DIALECT) == word
--- a/turnward/gateway/tests/test_endpoints_born_again.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -34,7 +34,7 @@
     new = born(world, "e-0", 2_000)
     assert new is not old
     assert (new.in_flight, new.availability.failures, new.availability.lost) == (0, 0, False)
-    assert new.availability.doubted_for_s(world.now_s) == 0.0
+    assert new.availability.suspected_for_s(world.now_s) == 0.0
     assert new.kept_tokens(wanted, world.now_s) == 0
     assert old.pool.closed
     assert world.choose(excluded={"e-1@1000"}) is new
--- a/turnward/gateway/tests/test_word_news.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -4,9 +4,9 @@
 import msgspec
 import pytest
 
+from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
+from turnward.gateway.tests.feedback_simulation import WordPlay
 from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, well
-from turnward.gateway.tests.word_plays import WordPlay
-from turnward.gateway.word_news import ToldWord, WordNews
 
 #: Seconds in which word is with all routers.
 KNOWN_S = 1.0
@@ -18,7 +18,9 @@
     def __init__(self, count):
         self.now_s = 0.0
         self.told = []
-        self.routers = [WordNews(lambda: self.now_s, self.told.append) for _ in range(count)]
+        self.routers = [
+            FeedbackExchange(lambda: self.now_s, self.told.append) for _ in range(count)
+        ]
 
     def run(self, seconds):
         for _ in range(round(seconds * 4)):
@@ -33,7 +35,7 @@
 @pytest.mark.parametrize("rest_s", [0.0, 2.0])
 def test_news_reaches_all_once_and_dies_out(rest_s):
     fleet = Fleet(5)
-    fleet.routers[0].note("e", leaves=not rest_s, rest_s=rest_s)
+    fleet.routers[0].note("e", draining=not rest_s, rest_s=rest_s)
     fleet.run(0.5)
     assert len(fleet.told) == 4
     fleet.run(30.0)
@@ -43,13 +45,13 @@
 
 def test_longer_rest_and_leaving_after_a_rest_are_news():
     fleet = Fleet(2)
-    fleet.routers[0].note("e", leaves=False, rest_s=2.0)
+    fleet.routers[0].note("e", draining=False, rest_s=2.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", leaves=False, rest_s=4.0)
+    fleet.routers[0].note("e", draining=False, rest_s=4.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", leaves=True, rest_s=0.0)
+    fleet.routers[0].note("e", draining=True, rest_s=0.0)
     fleet.run(0.5)
-    assert [(word.leaves, word.rest_left_ms > 0) for word in fleet.told] == [
+    assert [(word.draining, word.rest_left_ms > 0) for word in fleet.told] == [
         (False, True),
         (False, True),
         (True, True),
@@ -59,7 +61,7 @@
 def test_message_is_bounded():
     fleet = Fleet(1)
     for number in range(2_000):
-        fleet.routers[0].note(f"endpoint-{number}@1791507413292", leaves=True, rest_s=0.0)
+        fleet.routers[0].note(f"endpoint-{number}@1791507413292", draining=True, rest_s=0.0)
     words = fleet.routers[0].words()
     assert len(words) == 32
     assert len(msgspec.msgpack.encode(words)) < 1_300
@@ -101,5 +103,5 @@
     rig = Rig()
     rig.endpoint(well)
     rig.ready()
-    rig.gateways[0]._word_news.take_in([ToldWord("nobody@1", True, 5_000)])
+    rig.gateways[0]._word_news.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
     assert rig.ask().status == 200
--- a/turnward/gateway/tests/test_words_of_endpoints.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -18,8 +18,9 @@
 import pytest
 
 from turnward.gateway import Repeat
-from turnward.gateway.availability import Availability, Hold
-from turnward.gateway.endpoint_word import EndpointWord
+from turnward.gateway.availability import Availability, UnavailableReason
+from turnward.gateway.endpoint_feedback import EndpointFeedback
+from turnward.gateway.tests.feedback_simulation import WordPlay
 from turnward.gateway.tests.rig import (
     DIALECT,
     ENGINE_POOL,
@@ -34,13 +35,12 @@
 )
 from turnward.gateway.tests.test_crashing_requests import trouble
 from turnward.gateway.tests.test_forwarding import reason
-from turnward.gateway.tests.word_plays import WordPlay
 from turnward.http1 import OutboundPool
 
 
 def test_endpoint_that_says_that_it_leaves_is_sent_nothing_more():
     play = WordPlay(gateways=3, endpoints=4)
-    play.endpoints[0].leaves = True
+    play.endpoints[0].draining = True
     play.ask_for(6.0)
     assert play.endpoints[0].left_s
     assert play.endpoints[0].late_sends() == 0
@@ -125,7 +125,7 @@
     assert len(speaking.requests) == 1
 
 
-@pytest.mark.parametrize("word", [EndpointWord(leaves=True), EndpointWord(rest_s=2.0)])
+@pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
 def test_request_that_waits_for_a_connection_is_not_sent_after_the_word(word):
     rig = Rig()
     speaking = rig.endpoint(well)
@@ -135,7 +135,7 @@
     caller.transport.write(rig.request_bytes())
     rig.network.advance_until(lambda: record.in_flight == 1)
     assert not speaking.requests
-    record.availability.heed(word, rig.network.clock.seconds())
+    record.availability.apply_feedback(word, rig.network.clock.seconds())
     rig.network.advance_until(lambda: answered(caller))
     assert caller.status == 503
     assert not speaking.requests
@@ -144,7 +144,7 @@
     assert record.in_flight == 0
 
 
-@pytest.mark.parametrize("word", [EndpointWord(leaves=True), EndpointWord(rest_s=2.0)])
+@pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
 def test_broken_stream_goes_on_where_nobody_has_spoken_meanwhile(word):
     rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
     for _ in range(3):
@@ -155,7 +155,7 @@
     (first,) = (endpoint for endpoint in rig.endpoints if endpoint.requests)
     speaking, free = (endpoint for endpoint in rig.endpoints if endpoint is not first)
     now_s = rig.network.clock.seconds()
-    rig.gateways[0].endpoints.get(speaking.endpoint_id).availability.heed(word, now_s)
+    rig.gateways[0].endpoints.get(speaking.endpoint_id).availability.apply_feedback(word, now_s)
     free.behave = stream(6)
     first.requests[0].abort()
     rig.network.advance_until(lambda: answered(caller))
@@ -201,7 +201,7 @@
 
 def test_lines_tell_which_word_counts_and_whose_answer_said_it():
     play = WordPlay(gateways=1, endpoints=3)
-    play.endpoints[0].leaves = True
+    play.endpoints[0].draining = True
     play.endpoints[1].rest_s = 2.0
     play.ask_for(1.0)
     said = {line["endpoint"]: line for line in play.rig.logs[0].of("endpoint.said")}
@@ -285,13 +285,13 @@
                 self.play.note_restart(machine.host)
 
     def _change_an_endpoint(self, turn):
-        working = [one for one in self.play.endpoints if not one.leaves]
+        working = [one for one in self.play.endpoints if not one.draining]
         one = self.draw.choice(working)
         kinds = ("leave", "leave", "rest", "rest", "shed", "entry", "gone", "back")
         what = self.draw.choice(kinds)
         rows = self.play.rig.rows
         if what == "leave" and len(working) > 4:
-            one.leaves = True
+            one.draining = True
             self.play.add_endpoint()
         elif what == "rest":
             one.rest_s = self.draw.choice((0.0, 0.7, 3.0))
@@ -321,22 +321,22 @@
 
 
 def forgets_with_the_next_entry(monkeypatch):
-    take = Availability.take_entry
+    take = Availability.apply_entry
 
-    def forget(self, leaves):
+    def forget(self, draining):
         self._leaves = False
         self._rest_until_s = 0.0
-        take(self, leaves)
+        take(self, draining)
 
     monkeypatch.setattr(Availability, "take_entry", forget)
 
 
 def rest_as_a_wish(monkeypatch):
-    hold = Availability.hold
+    unavailable_reason = Availability.unavailable_reason
 
     def without_rest(self, now_s):
-        found = hold(self, now_s)
-        return None if found is Hold.RESTS else found
+        found = unavailable_reason(self, now_s)
+        return None if found is UnavailableReason.BACKOFF else found
 
     monkeypatch.setattr(Availability, "hold", without_rest)
 
@@ -369,7 +369,7 @@
     """Play an endpoint that leaves, and entries that change every half second."""
     play = WordPlay(gateways=2, endpoints=3)
     speaking = play.endpoints[0]
-    speaking.leaves = True
+    speaking.draining = True
     for change in range(8):
         play.rig.announce(speaking.endpoint, zone="z", slots=5 + change)
         play.ask_for(0.5, pause_s=0.05)
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -21,7 +21,8 @@
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.rate_limit import RateShare, ToldLimit
 from turnward.gateway.rate_limits import RateLimits
-from turnward.gateway.tests.rate_limit_plays import (
+from turnward.gateway.tests.feedback_simulation import WordPlay
+from turnward.gateway.tests.rate_limit_simulation import (
     ByAllMembers,
     ByOwnWord,
     ByRouterAlone,
@@ -33,7 +34,6 @@
 )
 from turnward.gateway.tests.rig import Rig, answered, well
 from turnward.gateway.tests.test_forwarding import reason
-from turnward.gateway.tests.word_plays import WordPlay
 
 #: What an endpoint bears for a while: in each span, its rate by a factor, and some requests more.
 SPAN_S = 4.0
@@ -76,7 +76,7 @@
     assert Fleet(play).run().most <= stated_limit(play)
 
 
-#: ``python -m turnward.gateway.tests.rate_limit_plays 200`` plays more seeds.
+#: ``python -m turnward.gateway.tests.rate_limit_simulation 200`` plays more seeds.
 @pytest.mark.parametrize("seed", range(16))
 def test_random_fleets_keep_the_bound(seed):
     play = random_play(seed)
@@ -232,9 +232,9 @@
     told = Told()
     told.limits.name("e", 2.0)
     told.now_s += 0.2
-    assert not told.limits.name_none("e", sent_s=99.9)
+    assert not told.limits.note_unlimited("e", sent_s=99.9)
     assert told.per_s == 2.0
-    assert told.limits.name_none("e", sent_s=100.1)
+    assert told.limits.note_unlimited("e", sent_s=100.1)
     assert told.per_s is None
 
 
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -195,13 +195,13 @@
     for ordering in itertools.islice(itertools.permutations(words), 0, 720, 37):
         orders = ZoneOrders()
         for word in (*ordering, *draw.sample(words, 3)):
-            orders.take_in([word])
+            orders.merge([word])
         assert orders.drained == expected
 
 
 def test_orders_that_stand_are_never_forgotten():
     orders = ZoneOrders()
-    orders.take_in(ZoneOrder(f"old-{number}", number, False) for number in range(200))
-    orders.take_in(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
+    orders.merge(ZoneOrder(f"old-{number}", number, False) for number in range(200))
+    orders.merge(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
     assert len(orders.drained) == 40
     assert len(orders.all()) <= 64
--- a/turnward/gateway/tests/warm_up_sim.py
+++ b/turnward/gateway/tests/warm_up_sim.py
@@ -16,7 +16,7 @@
 from turnward.gateway.configuration import WarmUpTraits
 from turnward.gateway.member_ranks import MemberRanks
 from turnward.gateway.peer_book import PeerBook
-from turnward.gateway.tests.word_plays import most_within
+from turnward.gateway.tests.feedback_simulation import most_within
 from turnward.gateway.warm_up import Allowance, WarmUp, WarmUpShares
 from turnward.hashing import rendezvous_weight
 
--- a/turnward/gateway/zone_orders.py
+++ b/turnward/gateway/zone_orders.py
@@ -55,9 +55,9 @@
     Examples
     --------
     >>> orders = ZoneOrders()
-    >>> orders.take_in([ZoneOrder("a", 5, True), ZoneOrder("b", 6, True)])
+    >>> orders.merge([ZoneOrder("a", 5, True), ZoneOrder("b", 6, True)])
     True
-    >>> orders.take_in([ZoneOrder("a", 9, False), ZoneOrder("b", 4, False)])
+    >>> orders.merge([ZoneOrder("a", 9, False), ZoneOrder("b", 4, False)])
     True
     >>> sorted(orders.drained)
     ['b']
@@ -69,7 +69,7 @@
         self._by_zone: dict[str, ZoneOrder] = {}
         self.drained: frozenset[str] = frozenset()
 
-    def take_in(self, orders: Iterable[ZoneOrder]) -> bool:
+    def merge(self, orders: Iterable[ZoneOrder]) -> bool:
         """Take in what is newer than known; True when other zones are drained than before."""
         for order in orders:
             known = self._by_zone.get(order.zone)
@@ -81,7 +81,7 @@
         self.drained = drained
         return changed
 
-    def take_in_table(self, standing: Iterable[ZoneOrder], version: int) -> bool:
+    def merge_table(self, standing: Iterable[ZoneOrder], version: int) -> bool:
         """Take in all orders that stood at a version; those that did not stand had ended."""
         standing = tuple(standing)
         zones = {order.zone for order in standing}
@@ -90,9 +90,9 @@
             for order in self._by_zone.values()
             if order.drained and order.zone not in zones
         ]
-        return self.take_in([*standing, *ended])
+        return self.merge([*standing, *ended])
 
-    def stand_from_before(self, era: int) -> bool:
+    def has_orders_before(self, era: int) -> bool:
         """Tell whether an order stands that was given before an era of the store."""
         return any(order.drained and order.era < era for order in self._by_zone.values())
 
