--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -7,7 +7,7 @@
 
 from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, answered
 
-__all__ = ["SimulatedEndpoint", "WordPlay", "most_within"]
+__all__ = ["SimulatedEndpoint", "WordPlay", "max_in_window"]
 
 #: Seconds after a word within which sends may still arrive that were on their way.
 ON_ITS_WAY_S = 0.5
@@ -108,10 +108,10 @@
         """Return the most sends in a sliding span, from a while after a router was first told."""
         told_s = min(self.limited_s.values(), default=1e9)
         times = [send.time_s for send in self.sends if send.time_s > told_s + ON_ITS_WAY_S]
-        return most_within(times, span_s)
+        return max_in_window(times, span_s)
 
 
-def most_within(times: list[float], span_s: float) -> int:
+def max_in_window(times: list[float], span_s: float) -> int:
     """Return the most of sorted times that lie in a sliding span."""
     most = first = 0
     for last, time_s in enumerate(times):
--- a/turnward/gateway/tests/rate_limit_simulation.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -16,7 +16,7 @@
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.rate_limit import RateShare
 from turnward.gateway.rate_limits import RateLimits
-from turnward.gateway.tests.feedback_simulation import most_within
+from turnward.gateway.tests.feedback_simulation import max_in_window
 from turnward.hashing import rendezvous_weight
 
 __all__ = ["Fleet", "Outcome", "Play", "random_play", "stated_limit"]
@@ -255,7 +255,7 @@
             known_s = SETTLED_S + _ROUNDS * (play.word_s + _PERIOD_S)
             settled_s = self.told_s.get(endpoint, 1e9) + known_s
             times = sorted(time_s for time_s in arrivals if settled_s < time_s < end_s)
-            most = max(most, most_within(times, SPAN_S))
+            most = max(most, max_in_window(times, SPAN_S))
             sent += sum(time_s > end_s / 2 for time_s in times)
         allowed = max(0.1, play.per_s) * play.endpoints * end_s / 2
         drawn = max(1, self.refused + sum(len(times) for times in self.arrivals.values()))
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -36,7 +36,7 @@
     return {choice.endpoint_id for choice in (world.choose() for _ in range(times)) if choice}
 
 
-def test_strongest_word_holds_in_whatever_order_words_come():
+def test_strongest_reason_wins_in_any_order_of_feedback():
     words = [
         lambda one: one.apply_feedback(DRAINING, 0.0),
         lambda one: one.apply_feedback(EndpointFeedback(rest_s=5.0), 0.0),
@@ -52,7 +52,7 @@
         assert availability.unavailable_reason(2.0) is UnavailableReason.REPLACED
 
 
-def test_shorter_wish_and_an_answer_do_not_shorten_a_rest():
+def test_shorter_retry_after_or_success_does_not_shorten_a_backoff():
     availability = Availability()
     availability.apply_feedback(EndpointFeedback(rest_s=4.0), 0.0)
     availability.apply_feedback(EndpointFeedback(rest_s=0.5), 1.0)
@@ -61,7 +61,7 @@
     assert availability.unavailable_reason(4.0) is None
 
 
-def test_word_is_news_once():
+def test_repeated_feedback_is_reported_once():
     availability = Availability()
     assert (
         availability.apply_feedback(EndpointFeedback(rest_s=3.0), 0.0) is UnavailableReason.BACKOFF
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("status", [100, 200, 429, 500, 503])
-def test_leaving_is_believed_in_any_answer_and_outlasts_every_entry(world, status):
+def test_draining_in_any_response_outlasts_changed_entries(world, status):
     speak(world, "e-0", status, LEAVING)
     assert chosen(world) == {"e-1", "e-2", "e-3"}
     changed = msgspec.structs.replace(world.entries["e-0"], cold_left_s=1.0)
@@ -84,7 +84,7 @@
     assert "e-0" not in chosen(world)
 
 
-def test_leaving_outlasts_an_entry_that_lapses_with_the_store_and_comes_back(world):
+def test_draining_outlasts_an_entry_that_expires_and_returns(world):
     speak(world, "e-0", 200, LEAVING)
     without(world, 0)
     world.now_s += 2.0
@@ -92,7 +92,7 @@
     assert "e-0" not in chosen(world)
 
 
-def test_rest_outlasts_an_entry_that_lapses_with_the_store_and_comes_back(world):
+def test_backoff_outlasts_an_entry_that_expires_and_returns(world):
     speak(world, "e-0", 503, rest(5.0))
     without(world, 0)
     world.now_s += 2.0
@@ -102,7 +102,7 @@
     assert "e-0" in chosen(world)
 
 
-def test_next_start_under_the_id_takes_work(world):
+def test_restarted_endpoint_takes_requests(world):
     old = world.book.get("e-0@1000").pool
     speak(world, "e-0", 503, [*LEAVING, *rest(60.0)])
     entries = {**world.entries, "e-0": msgspec.structs.replace(world.entries["e-0"], born_ms=2_000)}
@@ -113,7 +113,7 @@
     assert "e-0" in chosen(world)
 
 
-def test_next_endpoint_at_an_address_takes_work(world):
+def test_new_endpoint_at_a_draining_address_takes_requests(world):
     speak(world, "e-0", 200, LEAVING)
     newcomer = msgspec.structs.replace(world.entries["e-0"], endpoint_id="e-9", born_ms=2_000)
     world.book.set_entries({**world.entries, "e-9": newcomer})
@@ -121,12 +121,12 @@
     assert "e-0" not in chosen(world)
 
 
-def test_what_another_process_at_the_address_says_is_not_the_endpoints_word(world):
+def test_feedback_of_another_process_at_the_address_is_ignored(world):
     speak(world, "e-0", 421, [*LEAVING, *rest(60.0)])
     assert chosen(world) == {"e-0", "e-1", "e-2", "e-3"}
 
 
-def test_gone_ends_with_a_changed_entry(world):
+def test_replaced_ends_with_a_changed_entry(world):
     world.book.get("e-0@1000").availability.mark_replaced(world.now_s)
     assert "e-0" not in chosen(world)
     changed = msgspec.structs.replace(world.entries["e-0"], slots=9)
@@ -134,7 +134,7 @@
     assert "e-0" in chosen(world)
 
 
-def test_endpoint_that_rests_is_no_last_resort_and_the_pool_tells_when_it_opens(world):
+def test_endpoint_in_backoff_is_never_chosen_and_the_pool_reports_when_it_ends(world):
     for number, seconds in enumerate((3.0, 2.0, 5.0, 4.0)):
         speak(world, f"e-{number}", 503, rest(seconds))
     assert world.choose() is None
@@ -147,14 +147,14 @@
     assert world.book.shortage("pool") is None
 
 
-def test_pool_whose_endpoints_all_leave_has_no_endpoint(world):
+def test_pool_of_draining_endpoints_has_no_endpoint(world):
     for number in range(4):
         speak(world, f"e-{number}", 200, LEAVING)
     assert world.choose() is None
     assert world.book.shortage("pool").reason is Reason.NO_ENDPOINT
 
 
-def test_routers_come_back_from_a_rest_one_after_the_other():
+def test_backoff_ends_at_different_times_per_router():
     ends = set()
     for seed in range(20):
         world = World(seed=seed, born_ms=1_000)
--- a/turnward/gateway/tests/test_endpoint_feedback.py
+++ b/turnward/gateway/tests/test_endpoint_feedback.py
@@ -42,12 +42,12 @@
         ([b"Thu, 99 Dec 2026 10:00:04 GMT"], 0.0),
     ],
 )
-def test_rest_that_an_answer_asks_for(values, rest_s):
+def test_parse_retry_after_s(values, rest_s):
     headers = [ANSWERED, *((b"retry-after", value) for value in values)]
     assert parse_retry_after_s(headers) == rest_s
 
 
-def test_date_is_counted_from_the_answers_own_and_from_nothing_else():
+def test_retry_after_date_needs_a_date_header():
     assert parse_retry_after_s([(b"retry-after", b"Thu, 03 Dec 2026 10:00:04 GMT")]) == 0.0
 
 
@@ -70,18 +70,18 @@
         ([b""], None),
     ],
 )
-def test_limit_that_an_answer_names(values, limit_per_s):
+def test_parse_limit_per_s(values, limit_per_s):
     assert parse_limit_per_s(values) == limit_per_s
 
 
 @given(st.lists(st.binary(max_size=40), max_size=3))
-def test_no_value_raises_or_names_a_limit_below_zero(values):
+def test_parse_limit_per_s_never_raises_or_returns_a_negative_limit(values):
     found = parse_limit_per_s(values)
     assert found is None or found >= 0.0
 
 
 @given(st.lists(st.binary(max_size=40), max_size=3), st.binary(max_size=40))
-def test_no_value_raises_or_asks_for_longer_than_the_limit(values, date):
+def test_parse_retry_after_s_never_raises_or_exceeds_the_maximum(values, date):
     headers = [(b"date", date), *((b"retry-after", value) for value in values)]
     assert 0.0 <= parse_retry_after_s(headers) <= 3_600.0
 
@@ -106,5 +106,5 @@
         (421, [(b"retry-after", b"2"), (LEAVING, b"1")], None),
     ],
 )
-def test_word_of_an_answer(status, headers, word):
+def test_parse_feedback(status, headers, word):
     assert parse_feedback(status, headers, DIALECT) == word
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -24,7 +24,7 @@
     return World(count=2, born_ms=1_000)
 
 
-def test_nothing_that_was_learnt_is_left(world):
+def test_restart_discards_all_endpoint_state(world):
     old = world.book.get("e-0@1000")
     wanted = prompt("ab")
     old.remember(wanted, world.now_s)
@@ -40,18 +40,18 @@
     assert world.choose(excluded={"e-1@1000"}) is new
 
 
-def test_another_address_with_another_birth_is_one_new_endpoint(world):
+def test_restart_at_another_address_is_one_new_endpoint(world):
     new = born(world, "e-0", 2_000, address="10.0.0.99:80")
     assert new.entry.address == "10.0.0.99:80"
     assert len(world.book.all()) == 2
 
 
-def test_entry_that_changes_otherwise_keeps_what_was_learnt(world):
+def test_changed_entry_without_restart_keeps_endpoint_state(world):
     old = world.book.get("e-0@1000")
     assert born(world, "e-0", 1_000, slots=9) is old
 
 
-def test_peers_load_at_an_earlier_start_does_not_count(world):
+def test_peer_load_of_an_earlier_start_is_ignored(world):
     born(world, "e-0", 2_000)
     world.loads = {"e-0@1000": EndpointLoad("e-0@1000", 30, 90_000)}
     chosen = {world.choose(prompt("ab"), ENGINE, {"e-1@1000"}).incarnation for _ in range(5)}
@@ -59,7 +59,7 @@
     assert not world.book.loads()
 
 
-def test_late_end_of_a_run_at_an_earlier_start_changes_nothing(world):
+def test_late_end_of_a_request_at_an_earlier_start_changes_nothing(world):
     old = world.book.get("e-0@1000")
     old.in_flight = 1
     new = born(world, "e-0", 2_000)
@@ -68,7 +68,7 @@
     assert (new.in_flight, new.availability.failures) == (0, 0)
 
 
-def test_reborn_endpoint_is_not_spared_as_one_whose_entry_lapsed(world):
+def test_restarted_endpoint_is_not_treated_as_an_expired_entry(world):
     world.entries = {
         endpoint_id: msgspec.structs.replace(entry, born_ms=2_000)
         for endpoint_id, entry in world.entries.items()
@@ -77,7 +77,7 @@
     assert {record.incarnation for record in world.book.all()} == {"e-0@2000", "e-1@2000"}
 
 
-def test_row_of_an_earlier_start_that_comes_late_changes_nothing():
+def test_late_row_of_an_earlier_start_is_ignored():
     state = FleetState(lambda: 0.0)
     world = World(count=1)
     entries = [
@@ -89,13 +89,13 @@
     assert state.endpoints_version == 2
 
 
-def test_entry_without_a_birth_after_one_with_it_is_another_start(world):
+def test_entry_without_a_start_time_counts_as_a_restart(world):
     """Whoever writes it does not know when the process started: nothing of before is trusted."""
     assert born(world, "e-0", None) is not None
     assert world.book.get("e-0@1000") is None
 
 
-def test_endpoint_that_is_back_under_its_id_gets_work_at_once():
+def test_restarted_endpoint_gets_requests_at_once():
     rig = Rig(attempts=1)
     endpoint = rig.endpoint(reset, announce=False)
     other = rig.endpoint(well)
@@ -115,7 +115,7 @@
     assert other.requests
 
 
-def test_lines_name_the_start_of_an_endpoint():
+def test_log_lines_name_the_incarnation():
     rig = Rig(attempts=1)
     endpoint = rig.endpoint(well, announce=False)
     rig.announce(endpoint, born_ms=1_000)
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("rest_s", [0.0, 2.0])
-def test_news_reaches_all_once_and_dies_out(rest_s):
+def test_update_reaches_all_routers_once_and_expires(rest_s):
     fleet = Fleet(5)
     fleet.routers[0].note("e", draining=not rest_s, rest_s=rest_s)
     fleet.run(0.5)
@@ -43,7 +43,7 @@
     assert not any(router.words() for router in fleet.routers)
 
 
-def test_longer_rest_and_leaving_after_a_rest_are_news():
+def test_longer_backoff_and_draining_are_new_updates():
     fleet = Fleet(2)
     fleet.routers[0].note("e", draining=False, rest_s=2.0)
     fleet.run(0.5)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("size", [3, 7, 24])
-def test_other_routers_spare_an_endpoint_that_wants_rest(size):
+def test_other_routers_avoid_an_endpoint_in_backoff(size):
     play = WordPlay(gateways=size, endpoints=6)
     resting = play.endpoints[0]
     resting.rest_s = 5.0
@@ -82,7 +82,7 @@
     assert set(play.statuses()) == {200}
 
 
-def test_word_to_another_router_never_binds():
+def test_peer_feedback_never_excludes_an_endpoint():
     rig = Rig()
 
     def leaving(endpoint, request):
@@ -99,7 +99,7 @@
     assert rig.ask(1).status == 200
 
 
-def test_word_on_an_endpoint_that_is_not_known_changes_nothing():
+def test_feedback_on_an_unknown_endpoint_is_ignored():
     rig = Rig()
     rig.endpoint(well)
     rig.ready()
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -38,7 +38,7 @@
 from turnward.http1 import OutboundPool
 
 
-def test_endpoint_that_says_that_it_leaves_is_sent_nothing_more():
+def test_draining_endpoint_gets_no_more_requests():
     play = WordPlay(gateways=3, endpoints=4)
     play.endpoints[0].draining = True
     play.ask_for(6.0)
@@ -47,7 +47,7 @@
     assert set(play.statuses()) == {200}
 
 
-def test_endpoint_that_asks_for_rest_gets_it():
+def test_endpoint_in_backoff_gets_no_requests():
     play = WordPlay(gateways=3, endpoints=6)
     for resting in play.endpoints[:2]:
         resting.rest_s = 3.0
@@ -100,7 +100,7 @@
         raw(INFORMATIONAL),
     ],
 )
-def test_word_in_any_kind_of_answer_counts_at_once(behave):
+def test_feedback_in_any_kind_of_response_applies_at_once(behave):
     rig = Rig(time_limit_s=1.0)
     speaking = rig.endpoint(behave)
     rig.ready()
@@ -112,7 +112,7 @@
     assert len(speaking.requests) == 1
 
 
-def test_word_to_a_request_that_was_given_up_counts():
+def test_feedback_to_an_abandoned_request_applies():
     rig = Rig(attempts=1)
     answers = [leaving_stream, well]
     speaking = rig.endpoint(lambda endpoint, request: answers.pop(0)(endpoint, request))
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
-def test_request_that_waits_for_a_connection_is_not_sent_after_the_word(word):
+def test_request_waiting_for_a_connection_obeys_new_feedback(word):
     rig = Rig()
     speaking = rig.endpoint(well)
     rig.ready()
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
-def test_broken_stream_goes_on_where_nobody_has_spoken_meanwhile(word):
+def test_broken_stream_resumes_on_an_available_endpoint(word):
     rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
     for _ in range(3):
         rig.endpoint(stream(6, upto=2, then=lambda endpoint, request: None))
@@ -163,7 +163,7 @@
     assert not speaking.requests
 
 
-def test_request_whose_body_comes_slowly_goes_where_nobody_has_spoken_meanwhile():
+def test_slow_upload_goes_to_an_available_endpoint():
     rig = Rig()
     speaking, other = rig.endpoint(leaving_error), rig.endpoint(well)
     rig.ready()
@@ -179,7 +179,7 @@
     assert len(other.requests) >= 2
 
 
-def test_callers_are_told_at_once_when_a_pool_that_rests_opens():
+def test_callers_get_retry_after_when_the_whole_pool_is_in_backoff():
     play = WordPlay(gateways=1, endpoints=2)
     for endpoint in play.endpoints:
         endpoint.rest_s = 3.0
@@ -199,7 +199,7 @@
     assert play.rig.ask().status == 200
 
 
-def test_lines_tell_which_word_counts_and_whose_answer_said_it():
+def test_log_lines_name_the_feedback_and_its_request():
     play = WordPlay(gateways=1, endpoints=3)
     play.endpoints[0].draining = True
     play.endpoints[1].rest_s = 2.0
@@ -211,7 +211,7 @@
     assert 2.0 <= said["e-2"]["rest_s"] <= 2.5
 
 
-def test_lines_tell_which_rate_an_endpoint_names_once():
+def test_log_lines_name_each_new_limit_once():
     play = WordPlay(gateways=1, endpoints=2)
     named = play.endpoints[0]
     for per_s in (40.0, 20.0):
@@ -223,7 +223,7 @@
     assert lines[0]["request"].startswith("id-")
 
 
-def test_endpoint_that_turns_all_away_without_a_word_is_tried_seldom():
+def test_rejecting_endpoint_without_retry_after_is_tried_rarely():
     play = WordPlay(gateways=2, endpoints=6)
     busy = play.endpoints[0]
     busy.sheds = True
@@ -238,7 +238,7 @@
     assert set(play.statuses()) == {200}
 
 
-def test_pool_that_turns_all_away_without_a_word_is_tried_all_the_same():
+def test_rejecting_pool_without_retry_after_is_still_tried():
     play = WordPlay(gateways=1, endpoints=2)
     for endpoint in play.endpoints:
         endpoint.sheds = True
@@ -306,7 +306,7 @@
 
 @pytest.mark.parametrize("size", [3, 7, 14])
 @pytest.mark.parametrize("seed", range(3))
-def test_words_hold_beside_random_troubles(size, seed):
+def test_feedback_is_obeyed_during_random_faults(size, seed):
     endpoints = Troubled(size, seed).run(60)
     assert sum(bool(one.left_s) for one in endpoints) >= 2
     assert sum(one.late_sends() for one in endpoints) == 0
@@ -349,18 +349,18 @@
 @pytest.mark.parametrize(
     "break_it", [entries_only, forgets_with_the_next_entry, known_by_own_requests_only]
 )
-def test_play_of_leaving_finds_a_version_that_is_broken(monkeypatch, break_it):
+def test_draining_simulation_detects_broken_variants(monkeypatch, break_it):
     break_it(monkeypatch)
     assert play_leaving_beside_changed_entries().late_sends() > 0
 
 
 @pytest.mark.parametrize("break_it", [entries_only, forgets_with_the_next_entry, rest_as_a_wish])
-def test_play_of_rest_finds_a_version_that_is_broken(monkeypatch, break_it):
+def test_backoff_simulation_detects_broken_variants(monkeypatch, break_it):
     break_it(monkeypatch)
     assert play_rest_of_all_beside_changed_entries() > 1
 
 
-def test_words_hold_beside_changed_entries():
+def test_feedback_is_obeyed_while_entries_change():
     assert play_leaving_beside_changed_entries().late_sends() == 0
     assert play_rest_of_all_beside_changed_entries() <= 1
 
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -45,7 +45,7 @@
     return FACTOR * limit_per_s * SPAN_S + MORE
 
 
-def test_endpoints_that_name_a_rate_get_no_more_from_all_routers_together():
+def test_all_routers_together_stay_within_a_limit():
     play = WordPlay(gateways=8, endpoints=6)
     limited = play.endpoints[:2]
     for endpoint, limit_per_s in zip(limited, (1.2, 1.0), strict=True):
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     "case", [{}, {"cut": 0.3}, {"cut": 1.0}, {"dead": 0.3}, {"frozen": 0.2}, {"connect_s": 0.3}]
 )
-def test_no_span_holds_more_than_the_rate_and_one_for_each_holder(routers, endpoints, per_s, case):
+def test_sends_stay_within_the_rate_plus_one_per_holder(routers, endpoints, per_s, case):
     demand_per_s = 2.0 * max(0.5, per_s) * endpoints
     play = Play(
         routers=routers, endpoints=endpoints, per_s=per_s, demand_per_s=demand_per_s, **case
@@ -78,13 +78,13 @@
 
 #: ``python -m turnward.gateway.tests.rate_limit_simulation 200`` plays more seeds.
 @pytest.mark.parametrize("seed", range(16))
-def test_random_fleets_keep_the_bound(seed):
+def test_random_fleets_stay_within_the_bound(seed):
     play = random_play(seed)
     assert Fleet(play).run().most <= stated_limit(play), play
 
 
 @pytest.mark.parametrize("broken", [ByRouterAlone, ByAllMembers, BySecond, ByOwnWord])
-def test_plays_find_a_version_that_is_broken(broken):
+def test_simulation_detects_broken_variants(broken):
     """Also the version that holds a rate by each router's own word only, before all are told."""
     plays = [
         Play(routers=86, endpoints=3, per_s=per_s, demand_per_s=20.0 * per_s)
@@ -101,7 +101,7 @@
     assert Fleet(play).run().free == 1.0
 
 
-def test_allowed_sends_of_holders_never_exceed_what_endpoints_bear():
+def test_sends_of_holders_never_exceed_what_endpoints_sustain():
     for members in (1, 2, 7, 24, 86, 300):
         for tenths in range(0, 1_000):
             share = RateShare.from_rate(tenths / 10, 0, members)
@@ -109,7 +109,7 @@
             assert most <= allowed(tenths / 10), (members, tenths)
 
 
-def test_whole_pool_that_names_rates_is_refused_at_once_and_used():
+def test_fully_limited_pool_is_used_and_the_excess_refused_at_once():
     play = WordPlay(gateways=4, endpoints=2)
     for endpoint in play.endpoints:
         endpoint.limit_per_s = 2.0
@@ -127,7 +127,7 @@
     assert max(line["took_ms"] for line in lines if line["outcome"] == "refused") < 50
 
 
-def test_lifted_limit_is_used_in_full_again():
+def test_endpoint_gets_its_full_load_after_a_limit_is_lifted():
     play = WordPlay(gateways=4, endpoints=3)
     limited = play.endpoints[0]
     limited.limit_per_s = 1.0
@@ -152,14 +152,14 @@
     assert limited.most_when_limited(SPAN_S) <= allowed(1.0)
 
 
-def test_limit_says_nothing_of_the_next_start_of_an_endpoint():
+def test_limit_does_not_apply_after_a_restart():
     limits = RateLimits(lambda: 0.0, fixed_ranks(rank=3, members=4), "me")
     limits.name("e-1@1", 0.2)
     assert limits.opens_in_s("e-1@1") > 0
     assert limits.opens_in_s("e-1@2") == 0
 
 
-def test_requests_that_wait_for_connections_are_not_all_sent_after_the_word():
+def test_requests_waiting_for_connections_obey_a_new_limit():
     rig = Rig()
     limited = rig.endpoint(well)
     rig.ready()
@@ -198,7 +198,7 @@
         return self.limits._limits["e"].per_s
 
 
-def test_of_two_words_the_newer_counts_whichever_comes_first():
+def test_newer_update_wins_in_any_order():
     told = Told()
     told.limits.take_in([ToldLimit("e", 2.0, 1_000, "a", 70)])
     told.limits.take_in([ToldLimit("e", 5.0, 3_000, "b", 70)])
@@ -209,7 +209,7 @@
     assert told.per_s is None
 
 
-def test_word_that_comes_again_on_another_way_is_no_news():
+def test_duplicate_update_does_not_refresh_a_limit():
     """Passed on by many, and delayed on each way, it would never grow old."""
     told = Told()
     word = ToldLimit("e", 2.0, 100, "a", 70)
@@ -219,7 +219,7 @@
     assert told.limits.told()[0].age_ms == 1_100
 
 
-def test_own_word_that_comes_back_is_no_news():
+def test_own_update_that_comes_back_is_ignored():
     told = Told()
     told.limits.name("e", 2.0)
     (own,) = told.limits.told()
@@ -228,7 +228,7 @@
     assert told.limits.told()[0].age_ms == 1_000
 
 
-def test_answer_to_a_request_that_was_sent_before_the_word_lifts_nothing():
+def test_response_to_an_earlier_request_does_not_lift_a_limit():
     told = Told()
     told.limits.name("e", 2.0)
     told.now_s += 0.2
@@ -238,7 +238,7 @@
     assert told.per_s is None
 
 
-def test_lifted_by_others_only_when_clearly_later():
+def test_peer_lifts_a_limit_only_when_clearly_later():
     told = Told()
     told.limits.name("e", 2.0)
     told.now_s += 0.6
@@ -248,7 +248,7 @@
     assert told.per_s is None
 
 
-def test_router_without_a_part_asks_after_a_long_silence_only():
+def test_router_without_a_share_probes_only_after_long_silence():
     told = Told(rank=3, members=4)
     told.limits.name("e", 0.5)
     assert told.limits.opens_in_s("e") == 5.0 + 4.0 * 3 / 0.5
@@ -261,7 +261,7 @@
     assert told.limits.opens_in_s("e") == 5.0 + 4.0 * 4 / 0.5
 
 
-def test_what_was_learnt_long_ago_is_not_told():
+def test_old_limits_are_not_announced():
     told = Told()
     told.limits.name("e", 2.0)
     told.limits.take_in([ToldLimit("other", 2.0, 3_000, "a", 70)])
@@ -274,7 +274,7 @@
     assert told.limits.told() == ()
 
 
-def test_one_message_holds_a_bounded_number_of_limits_the_newest_first():
+def test_announced_limits_are_bounded_newest_first():
     told = Told()
     for number in range(100):
         told.now_s += 0.01
@@ -284,7 +284,7 @@
     assert words[0].endpoint == "e-99"
 
 
-def test_endpoints_remembered_are_bounded():
+def test_remembered_endpoints_are_bounded():
     told = Told()
     for number in range(1_500):
         told.limits.name(f"e-{number}", 2.0)
--- a/turnward/gateway/tests/test_warm_up.py
+++ b/turnward/gateway/tests/test_warm_up.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_fleets_keep_the_bound(seed):
+def test_random_fleets_stay_within_the_bound(seed):
     scenario = random_scenario(seed)
     assert run(scenario).most_in_a_second <= stated_limit(scenario), scenario
 
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -42,7 +42,7 @@
     return len(endpoint.requests) - before
 
 
-def test_drained_zone_gets_nothing_until_the_order_is_taken_back():
+def test_drained_zone_gets_nothing_until_the_order_is_withdrawn():
     rig = Rig()
     north, _ = two_zones(rig)
     rig.ready()
@@ -67,7 +67,7 @@
     assert refused.header(b"retry-after")
 
 
-def test_repeats_and_resumed_streams_keep_away_too():
+def test_retries_and_resumed_streams_avoid_a_drained_zone():
     rig = Rig(repeat="stream", resumable=True)
     north, south = two_zones(rig, stream(4, upto=2, then=reset))
     rig.ready()
@@ -79,7 +79,7 @@
     assert not north.requests
 
 
-def test_endpoints_of_a_zone_taken_back_count_as_cold():
+def test_endpoints_of_a_restored_zone_count_as_cold():
     rig = Rig(
         pools=[EndpointPool(name="pool", warm_up=WarmUpTraits(cold_s=2.0, requests_per_s=1.0))]
     )
@@ -95,7 +95,7 @@
     assert served_by(rig, north)
 
 
-def test_order_outlives_a_restart_and_an_outage():
+def test_order_survives_a_router_restart_and_a_store_outage():
     rig = Rig()
     north, _ = two_zones(rig)
     rig.ready()
@@ -113,7 +113,7 @@
     assert not served_by(rig, north)
 
 
-def test_router_that_the_store_turns_away_learns_of_orders_from_others():
+def test_router_cut_off_from_the_store_gets_orders_from_peers():
     rig = Rig()
     north, _ = two_zones(rig)
     rig.ready(gateways=3)
@@ -127,7 +127,7 @@
     assert served_by(rig, north, gateways=(2,))
 
 
-def test_starting_router_that_knows_no_orders_takes_nothing():
+def test_starting_router_is_incomplete_until_orders_are_known():
     state = FleetState(lambda: 0.0)
     state.adopt_configuration(Configuration(version=1), "peer")
     state.endpoints_version = 3
@@ -151,7 +151,7 @@
     return StoredRow(RowKey(TABLE, "", f"drained/{zone}"), value, version, gone)
 
 
-def test_order_that_ended_in_lost_history_ends_with_the_next_whole_read():
+def test_order_missing_from_a_full_read_has_ended():
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4), row("south", 5)), 6))
     feed.table_read(TableChanges((row("south", 5),), 9))
@@ -161,20 +161,20 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[", b"nonsense"])
-def test_row_is_an_order_whatever_its_value_says(value):
+def test_row_is_an_order_whatever_its_value(value):
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4, value=value),), 6))
     assert state.zone_orders.drained == {"north"}
 
 
-def test_order_without_a_zone_is_told_and_harms_nothing():
+def test_order_without_a_zone_is_reported_and_ignored():
     state, told, feed = listener()
     feed.table_read(TableChanges((row("", 4), row("north", 5)), 6))
     assert told == ["drained/"]
     assert state.zone_orders.drained == {"north"}
 
 
-def test_order_given_again_in_the_answer_that_ends_it_stands():
+def test_order_reissued_in_the_same_answer_stands():
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4),), 6))
     feed.rows_changed(TableChanges((row("north", 0, gone=True), row("north", 9)), 9))
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_words_may_come_in_any_order_and_more_than_once(seed):
+def test_orders_merge_in_any_sequence_and_repeatedly(seed):
     draw = random.Random(seed)
     words = [
         ZoneOrder(draw.choice("abc"), version, draw.random() < 0.5)
@@ -199,7 +199,7 @@
         assert orders.drained == expected
 
 
-def test_orders_that_stand_are_never_forgotten():
+def test_standing_orders_are_never_evicted():
     orders = ZoneOrders()
     orders.merge(ZoneOrder(f"old-{number}", number, False) for number in range(200))
     orders.merge(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
--- a/turnward/gateway/tests/warm_up_sim.py
+++ b/turnward/gateway/tests/warm_up_sim.py
@@ -16,7 +16,7 @@
 from turnward.gateway.configuration import WarmUpTraits
 from turnward.gateway.member_ranks import MemberRanks
 from turnward.gateway.peer_book import PeerBook
-from turnward.gateway.tests.feedback_simulation import most_within
+from turnward.gateway.tests.feedback_simulation import max_in_window
 from turnward.gateway.warm_up import Allowance, WarmUp, WarmUpShares
 from turnward.hashing import rendezvous_weight
 
@@ -249,9 +249,9 @@
             times = sorted(sent_s + delay_s for sent_s, delay_s in arrivals)
             cold = [time_s for time_s in times if time_s < cold_s]
             served += len(cold)
-            most = max(most, most_within(cold, 1.0))
+            most = max(most, max_in_window(cold, 1.0))
             warm = [time_s for time_s in times if cold_s <= time_s < cold_s + 0.4]
-            step = max(step, most_within(warm, 0.2))
+            step = max(step, max_in_window(warm, 0.2))
         return Outcome(most, served, step)
 
 
