--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -10,7 +10,7 @@
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.outcomes import Reason
-from turnward.gateway.tests.test_choice import World, without
+from turnward.gateway.tests.test_choice import World, omit
 
 DIALECT = Dialect()
 LEAVING = [(DIALECT.leaving, b"1")]
@@ -86,7 +86,7 @@
 
 def test_draining_outlasts_an_entry_that_expires_and_returns(world):
     speak(world, "e-0", 200, LEAVING)
-    without(world, 0)
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
@@ -94,7 +94,7 @@
 
 def test_backoff_outlasts_an_entry_that_expires_and_returns(world):
     speak(world, "e-0", 503, rest(5.0))
-    without(world, 0)
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -50,8 +50,8 @@
         }
         self.book.set_entries(self.entries)
 
-    def choose(self, prompt=NO_PROMPT, traits=None, without=frozenset()):
-        choice = self.book.choose("pool", prompt, traits, set(without))
+    def choose(self, prompt=NO_PROMPT, traits=None, omit=frozenset()):
+        choice = self.book.choose("pool", prompt, traits, set(omit))
         return choice.record if choice is not None else None
 
 
@@ -136,8 +136,8 @@
 
 def test_endpoints_already_tried_are_not_chosen():
     world = World(count=2)
-    assert world.choose(without={"e-0"}).endpoint_id == "e-1"
-    assert world.choose(without={"e-0", "e-1"}) is None
+    assert world.choose(omit={"e-0"}).endpoint_id == "e-1"
+    assert world.choose(omit={"e-0", "e-1"}) is None
 
 
 def test_changed_address_is_a_new_endpoint_and_the_old_connections_close():
@@ -187,7 +187,7 @@
 # Entries that lapse while the store is away.
 
 
-def without(world, *numbers, store_was_away=True):
+def omit(world, *numbers, store_was_away=True):
     """Take in all entries but some."""
     kept = {name: entry for name, entry in world.entries.items() if int(name[2:]) not in numbers}
     world.book.set_entries(kept, store_was_away)
@@ -195,10 +195,10 @@
 
 def test_endpoints_whose_entries_lapse_together_stay_in_use_until_the_entries_return():
     world = World(count=8)
-    without(world, *range(8))
+    omit(world, *range(8))
     assert len(ids_chosen(world, 60)) == 8
     world.now_s += 0.8
-    without(world, *range(4), store_was_away=False)
+    omit(world, *range(4), store_was_away=False)
     assert len(ids_chosen(world, 60)) == 8
     world.now_s += 0.5
     world.book.set_entries(world.entries)
@@ -208,30 +208,30 @@
 
 def test_endpoints_whose_entries_do_not_return_in_time_are_removed():
     world = World(count=8)
-    without(world, 0, 1, 2)
+    omit(world, 0, 1, 2)
     world.now_s += 1.5
     assert len(ids_chosen(world, 60)) == 5
     world.book.drop_lapsed()
     assert len(world.book.all()) == 5
-    without(world, 0, 1, 2)
+    omit(world, 0, 1, 2)
     assert len(ids_chosen(world, 60)) == 5
 
 
 def test_entries_that_vanish_while_the_store_answers_are_removed_at_once():
     world = World(count=8)
-    without(world, 0, 1, 2, store_was_away=False)
+    omit(world, 0, 1, 2, store_was_away=False)
     assert len(ids_chosen(world, 60)) == 5
 
 
 def test_single_entry_that_vanishes_is_removed_at_once():
     world = World(count=8)
-    without(world, 0)
+    omit(world, 0)
     assert len(ids_chosen(world, 60)) == 7
 
 
 def test_draining_endpoints_whose_entries_vanish_are_removed_at_once():
     world = World(count=8, leaving=True)
-    without(world, 0, 1, 2)
+    omit(world, 0, 1, 2)
     assert len(world.book.all()) == 5
 
 
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -37,7 +37,7 @@
     assert new.availability.suspected_for_s(world.now_s) == 0.0
     assert new.kept_tokens(wanted, world.now_s) == 0
     assert old.pool.closed
-    assert world.choose(excluded={"e-1@1000"}) is new
+    assert world.choose(omit={"e-1@1000"}) is new
 
 
 def test_restart_at_another_address_is_one_new_endpoint(world):
