--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_processes import Rig
+from tests.test_processes import Harness
 from tools.local_fleet import LocalFleet, http_call
 
 BINARY = Path("dist/turnward")
@@ -20,10 +20,10 @@
 
 
 @pytest.fixture(scope="module")
-def rig():
-    rig = Rig()
-    yield rig
-    rig.fleet.stop()
+def harness():
+    harness = Harness()
+    yield harness
+    harness.fleet.stop()
 
 
 def test_shipped_file_checks_the_examples():
@@ -69,8 +69,8 @@
     assert "heartbeat_s: expected more than 0, found -1" in done.stderr
 
 
-def test_commands_read_change_and_explain(rig):
-    url, key = rig.routers[0].operators_url, str(rig.fleet.key_file)
+def test_commands_read_change_and_explain(harness):
+    url, key = harness.routers[0].operators_url, str(harness.fleet.key_file)
     assert '"in_force": 3' in turnward("get", url, key).stdout
     drained = turnward("drain", url, key, "--endpoint=draft-1")
     assert "accepted" in drained.stdout, drained.stderr
--- a/tests/test_faces.py
+++ b/tests/test_faces.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.test_processes import BOOKINGS, CHAT, Rig
+from tests.test_processes import BOOKINGS, CHAT, Harness
 from tools.local_fleet import http_call
 
 FUZZ = settings(
@@ -23,10 +23,10 @@
 
 
 @pytest.fixture(scope="module")
-def rig():
-    rig = Rig(request_limit_bytes=20_000, connection_limit=50, idle_timeout_s=1.0)
-    yield rig
-    rig.fleet.stop()
+def harness():
+    harness = Harness(request_limit_bytes=20_000, connection_limit=50, idle_timeout_s=1.0)
+    yield harness
+    harness.fleet.stop()
 
 
 def problem(answer):
@@ -37,14 +37,14 @@
     return fields
 
 
-def assert_lives(rig):
-    assert rig.send(rig.routers[0], CHAT, rig.chat_body(tokens=2))[0] == 200
+def assert_lives(harness):
+    assert harness.send(harness.routers[0], CHAT, harness.chat_body(tokens=2))[0] == 200
 
 
 @FUZZ
 @given(body=st.binary(max_size=300))
-def test_chat_with_any_bytes_is_refused(rig, body):
-    fields = problem(rig.send(rig.routers[0], CHAT, body or b" "))
+def test_chat_with_any_bytes_is_refused(harness, body):
+    fields = problem(harness.send(harness.routers[0], CHAT, body or b" "))
     assert (fields["status"], fields["outcome"]) == (400, "not_run")
 
 
@@ -61,96 +61,102 @@
         {}, optional={"model": JSON, "messages": JSON, "max_tokens": JSON, "stream": JSON}
     )
 )
-def test_chat_with_any_json_is_refused(rig, body):
-    fields = problem(rig.send(rig.routers[0], CHAT, msgspec.json.encode(body)))
+def test_chat_with_any_json_is_refused(harness, body):
+    fields = problem(harness.send(harness.routers[0], CHAT, msgspec.json.encode(body)))
     assert fields["status"] in (400, 404)
 
 
 @FUZZ
 @given(body=st.binary(max_size=200))
-def test_operators_face_with_any_bytes_is_refused(rig, body):
-    status, answer = rig.fleet.operator(rig.routers[0], "POST", "/apply", body or b" ")
+def test_operators_face_with_any_bytes_is_refused(harness, body):
+    status, answer = harness.fleet.operator(harness.routers[0], "POST", "/apply", body or b" ")
     assert status == 400
     assert answer["faults"]
 
 
-def test_faulty_resources_name_every_fault_and_apply_nothing(rig):
-    before = rig.fleet.operator(rig.routers[0], "GET", "/fleet")[1]["revision"]
+def test_faulty_resources_name_every_fault_and_apply_nothing(harness):
+    before = harness.fleet.operator(harness.routers[0], "GET", "/fleet")[1]["revision"]
     changes = [
         {"kind": "models", "name": "new", "spec": {"name": "new"}},
         {"kind": "endpoints", "name": "x", "spec": {"name": "x", "pool": "none", "slots": "y"}},
     ]
-    status, answer = rig.fleet.operator(rig.routers[0], "POST", "/apply", {"changes": changes})
+    status, answer = harness.fleet.operator(
+        harness.routers[0], "POST", "/apply", {"changes": changes}
+    )
     assert status == 400
     assert len(answer["faults"]) >= 3
     assert all("expected" in fault and "found" in fault for fault in answer["faults"])
-    assert not rig.fleet.operator(rig.routers[0], "GET", "/resources/models/new")[1]
-    assert rig.fleet.operator(rig.routers[0], "GET", "/fleet")[1]["revision"] == before
+    assert not harness.fleet.operator(harness.routers[0], "GET", "/resources/models/new")[1]
+    assert harness.fleet.operator(harness.routers[0], "GET", "/fleet")[1]["revision"] == before
 
 
-def test_wrong_key_is_refused_at_both_faces(rig):
-    fields = problem(rig.send(rig.routers[0], CHAT, rig.chat_body(), workspace="nobody"))
+def test_wrong_key_is_refused_at_both_faces(harness):
+    fields = problem(
+        harness.send(harness.routers[0], CHAT, harness.chat_body(), workspace="nobody")
+    )
     assert fields["reason"] == "unauthorized"
-    status, _, _ = http_call("GET", f"{rig.routers[0].operators_url}/fleet")
+    status, _, _ = http_call("GET", f"{harness.routers[0].operators_url}/fleet")
     assert status == 401
 
 
-def test_large_body_is_refused_before_it_is_read(rig):
-    body = rig.chat_body().replace(b"who", b"x" * 30_000)
+def test_large_body_is_refused_before_it_is_read(harness):
+    body = harness.chat_body().replace(b"who", b"x" * 30_000)
     try:
-        fields = problem(rig.send(rig.routers[0], CHAT, body))
+        fields = problem(harness.send(harness.routers[0], CHAT, body))
         assert fields["reason"] == "too_large"
     except OSError:
         pass  # the connection is closed while the caller still sends
-    assert_lives(rig)
+    assert_lives(harness)
 
 
-def test_answer_of_one_workspace_never_goes_to_another(rig):
+def test_answer_of_one_workspace_never_goes_to_another(harness):
     request_id = str(uuid6.uuid7())
-    first = rig.send(rig.routers[0], BOOKINGS, b'{"a": 1}', request_id)
-    other = rig.send(rig.routers[1], BOOKINGS, b'{"a": 1}', request_id, workspace="sport-one")
+    first = harness.send(harness.routers[0], BOOKINGS, b'{"a": 1}', request_id)
+    other = harness.send(
+        harness.routers[1], BOOKINGS, b'{"a": 1}', request_id, workspace="sport-one"
+    )
     assert first[0] == other[0] == 200
     assert first[2] != other[2]
-    again = rig.fleet.wait_until(lambda: _stored(rig, request_id))
+    again = harness.fleet.wait_until(lambda: _stored(harness, request_id))
     assert again == first[2]
 
 
-def _stored(rig, request_id):
-    status, _, body = rig.send(rig.routers[1], BOOKINGS, b'{"a": 1}', request_id)
+def _stored(harness, request_id):
+    status, _, body = harness.send(harness.routers[1], BOOKINGS, b'{"a": 1}', request_id)
     assert status in (200, 409)
     return body if status == 200 else None
 
 
-def test_same_id_with_another_body_is_an_error(rig):
+def test_same_id_with_another_body_is_an_error(harness):
     request_id = str(uuid6.uuid7())
-    assert rig.send(rig.routers[0], BOOKINGS, b'{"a": 1}', request_id)[0] == 200
-    fields = problem(rig.send(rig.routers[1], BOOKINGS, b'{"a": 2}', request_id))
+    assert harness.send(harness.routers[0], BOOKINGS, b'{"a": 1}', request_id)[0] == 200
+    fields = problem(harness.send(harness.routers[1], BOOKINGS, b'{"a": 2}', request_id))
     assert (fields["reason"], fields["outcome"]) == ("id_reused", "not_run")
 
 
-def test_old_id_of_a_booking_is_unknown_and_not_run(rig):
+def test_old_id_of_a_booking_is_unknown_and_not_run(harness):
     old = "01900000-0000-7000-8000-000000000000"
-    fields = problem(rig.send(rig.routers[0], BOOKINGS, b"{}", old))
+    fields = problem(harness.send(harness.routers[0], BOOKINGS, b"{}", old))
     assert (fields["reason"], fields["outcome"]) == ("id_too_old", "unknown")
 
 
-def test_silent_and_broken_connections_are_closed(rig):
-    address = ("127.0.0.1", rig.routers[0].callers_port)
+def test_silent_and_broken_connections_are_closed(harness):
+    address = ("127.0.0.1", harness.routers[0].callers_port)
     for opening in (b"", b"POST /v1/chat", b"\x00\xff\r\n\r\n"):
         with socket.create_connection(address) as connection:
             connection.settimeout(10.0)
             connection.sendall(opening)
             while connection.recv(1000):
                 pass
-    assert_lives(rig)
+    assert_lives(harness)
 
 
 @pytest.fixture
 def patient_rig():
     """Return a rig that closes no connection for being idle while a test looks."""
-    rig = Rig(connection_limit=50, idle_timeout_s=60.0)
-    yield rig
-    rig.fleet.stop()
+    harness = Harness(connection_limit=50, idle_timeout_s=60.0)
+    yield harness
+    harness.fleet.stop()
 
 
 def test_connections_above_the_limit_are_closed(patient_rig):
@@ -194,8 +200,8 @@
     return held
 
 
-def test_peer_port_survives_any_bytes(rig):
+def test_peer_port_survives_any_bytes(harness):
     for data in (b"\xff" * 100, b"\x00\x00\x00\x05hello", b"GET / HTTP/1.1\r\n\r\n"):
-        with socket.create_connection(("127.0.0.1", rig.routers[0].peers_port)) as connection:
+        with socket.create_connection(("127.0.0.1", harness.routers[0].peers_port)) as connection:
             connection.sendall(data)
-    assert_lives(rig)
+    assert_lives(harness)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -19,7 +19,7 @@
 BOOKINGS = "/services/points/bookings"
 
 
-class Rig:
+class Harness:
     """A fleet with both example deployments, and an audit from the outside."""
 
     def __init__(self, **settings):
@@ -102,10 +102,10 @@
 
 
 @pytest.fixture
-def rig():
-    rig = Rig()
-    yield rig
-    rig.fleet.stop()
+def harness():
+    harness = Harness()
+    yield harness
+    harness.fleet.stop()
 
 
 @pytest.fixture
@@ -114,114 +114,118 @@
         yield pool
 
 
-def test_router_killed_with_streams_open_is_recovered_by_its_buddy(rig, pool):
-    victim = rig.routers[0]
-    ids, futures = rig.start_chats(pool, victim, 3, tokens=200, stream=True)
-    rig.fleet.wait_until(lambda: len(rig.audit.engine_runs()) == 3)
-    rig.fleet.kill(victim)
+def test_router_killed_with_streams_open_is_recovered_by_its_buddy(harness, pool):
+    victim = harness.routers[0]
+    ids, futures = harness.start_chats(pool, victim, 3, tokens=200, stream=True)
+    harness.fleet.wait_until(lambda: len(harness.audit.engine_runs()) == 3)
+    harness.fleet.kill(victim)
     for future in futures:
         with pytest.raises((OSError, http.client.HTTPException)):
             future.result()
-    rig.wait_billed(ids)
-    retried = [rig.caller.send("bakeries", CHAT, rig.chat_body(), str(uuid6.uuid7()))]
+    harness.wait_billed(ids)
+    retried = [harness.caller.send("bakeries", CHAT, harness.chat_body(), str(uuid6.uuid7()))]
     assert retried[0][0] == "ran"
-    rig.assert_exact()
+    harness.assert_exact()
 
 
-def test_frozen_router_wakes_fenced_and_bills_nothing_twice(rig, pool):
-    victim = rig.routers[0]
-    ids, futures = rig.start_chats(pool, victim, 3, tokens=100)
-    rig.fleet.wait_until(lambda: len(rig.audit.engine_runs()) == 3)
+def test_frozen_router_wakes_fenced_and_bills_nothing_twice(harness, pool):
+    victim = harness.routers[0]
+    ids, futures = harness.start_chats(pool, victim, 3, tokens=100)
+    harness.fleet.wait_until(lambda: len(harness.audit.engine_runs()) == 3)
     victim.process.send_signal(signal.SIGSTOP)
-    rig.fleet.unlist_instance(victim.instance)
-    rig.wait_billed(ids)
-    rig.fleet.list_instance(victim.instance)
+    harness.fleet.unlist_instance(victim.instance)
+    harness.wait_billed(ids)
+    harness.fleet.list_instance(victim.instance)
     victim.process.send_signal(signal.SIGCONT)
     assert [future.result()[0] for future in futures] == [200] * 3
-    rig.fleet.wait_until(lambda: rig.send(victim, CHAT, rig.chat_body())[0] == 200)
-    rig.assert_exact(ids)
+    harness.fleet.wait_until(lambda: harness.send(victim, CHAT, harness.chat_body())[0] == 200)
+    harness.assert_exact(ids)
 
 
-def test_table_outage_serves_chats_runs_a_booking_once_and_bills_after(rig, pool):
-    router = rig.routers[0]
+def test_table_outage_serves_chats_runs_a_booking_once_and_bills_after(harness, pool):
+    router = harness.routers[0]
     for _ in range(3):
-        assert rig.send(router, CHAT, rig.chat_body())[0] == 200
-    rig.fleet.set_faults(down=True)
-    ids, futures = rig.start_chats(pool, router, 4)
+        assert harness.send(router, CHAT, harness.chat_body())[0] == 200
+    harness.fleet.set_faults(down=True)
+    ids, futures = harness.start_chats(pool, router, 4)
     booking = str(uuid6.uuid7())
-    booked = [pool.submit(rig.send, each, BOOKINGS, b"{}", booking) for each in rig.routers * 2]
+    booked = [
+        pool.submit(harness.send, each, BOOKINGS, b"{}", booking) for each in harness.routers * 2
+    ]
     statuses = Counter(future.result()[0] for future in futures)
     answers = [future.result() for future in booked]
-    rig.fleet.set_faults(down=False)
+    harness.fleet.set_faults(down=False)
     assert statuses == {200: 4}
     assert sum(status == 200 for status, _, _ in answers) == 1
     refused = [headers for status, headers, _ in answers if status != 200]
     assert all("Retry-After" in headers for headers in refused)
-    assert rig.audit.service_calls()[booking] == 1
-    rig.wait_billed([*ids, booking])
-    rig.assert_exact([*ids, booking])
+    assert harness.audit.service_calls()[booking] == 1
+    harness.wait_billed([*ids, booking])
+    harness.assert_exact([*ids, booking])
 
 
-def test_holder_of_claims_killed_in_an_outage_doubles_no_booking(rig, pool):
-    for router in rig.routers:
+def test_holder_of_claims_killed_in_an_outage_doubles_no_booking(harness, pool):
+    for router in harness.routers:
         for _ in range(3):
-            assert rig.send(router, CHAT, rig.chat_body())[0] == 200
-    rig.fleet.set_faults(down=True)
-    rig.fleet.kill(rig.routers[0])
+            assert harness.send(router, CHAT, harness.chat_body())[0] == 200
+    harness.fleet.set_faults(down=True)
+    harness.fleet.kill(harness.routers[0])
     ids = [str(uuid6.uuid7()) for _ in range(16)]
-    living = rig.routers[1:]
-    sent = [pool.submit(rig.send, each, BOOKINGS, b"{}", name) for name in ids for each in living]
+    living = harness.routers[1:]
+    sent = [
+        pool.submit(harness.send, each, BOOKINGS, b"{}", name) for name in ids for each in living
+    ]
     statuses = {future.result()[0] for future in sent}
     assert statuses <= {200, 409, 503}
-    rig.fleet.set_faults()
-    rig.fleet.unlist_instance(rig.routers[0].instance)
-    futures = [pool.submit(rig.caller.send, "bakeries", BOOKINGS, b"{}", name) for name in ids]
+    harness.fleet.set_faults()
+    harness.fleet.unlist_instance(harness.routers[0].instance)
+    futures = [pool.submit(harness.caller.send, "bakeries", BOOKINGS, b"{}", name) for name in ids]
     assert {future.result()[0] for future in futures} <= {"ran", "unknown"}
-    assert set(rig.audit.service_calls()) == set(ids)
-    rig.wait_billed(ids)
-    rig.assert_exact(ids)
+    assert set(harness.audit.service_calls()) == set(ids)
+    harness.wait_billed(ids)
+    harness.assert_exact(ids)
 
 
-def test_slow_table_whose_writes_go_unanswered_doubles_nothing(rig, pool):
-    rig.fleet.set_faults(delay_s=2.5)
-    futures = rig.start_mixed(pool, 24)
+def test_slow_table_whose_writes_go_unanswered_doubles_nothing(harness, pool):
+    harness.fleet.set_faults(delay_s=2.5)
+    futures = harness.start_mixed(pool, 24)
     time.sleep(6.0)
-    rig.fleet.set_faults()
+    harness.fleet.set_faults()
     outcomes = {name: future.result()[0] for name, future in futures.items()}
     ran = [name for name, outcome in outcomes.items() if outcome == "ran"]
     assert len(ran) >= 12
-    rig.wait_billed(ran)
-    rig.assert_exact(ran)
+    harness.wait_billed(ran)
+    harness.assert_exact(ran)
 
 
-def test_answers_lost_after_the_write_double_and_lose_nothing(rig, pool):
-    rig.fleet.set_faults(lose_answers=12)
-    futures = rig.start_mixed(pool, 30)
+def test_answers_lost_after_the_write_double_and_lose_nothing(harness, pool):
+    harness.fleet.set_faults(lose_answers=12)
+    futures = harness.start_mixed(pool, 30)
     outcomes = {name: future.result()[0] for name, future in futures.items()}
     ran = [name for name, outcome in outcomes.items() if outcome == "ran"]
     assert len(ran) >= 25
-    rig.wait_billed(ran)
-    rig.assert_exact(ran)
+    harness.wait_billed(ran)
+    harness.assert_exact(ran)
 
 
-def test_one_booking_sent_to_every_router_runs_once(rig, pool):
+def test_one_booking_sent_to_every_router_runs_once(harness, pool):
     request_id = str(uuid6.uuid7())
     futures = [
-        pool.submit(rig.send, router, BOOKINGS, b'{"points": 5}', request_id)
-        for router in rig.routers * 4
+        pool.submit(harness.send, router, BOOKINGS, b'{"points": 5}', request_id)
+        for router in harness.routers * 4
     ]
     statuses = Counter(future.result()[0] for future in futures)
     assert set(statuses) <= {200, 409}
     assert statuses[200] >= 1
-    assert rig.audit.service_calls()[request_id] == 1
-    rig.wait_billed([request_id])
-    rig.assert_exact([request_id])
+    assert harness.audit.service_calls()[request_id] == 1
+    harness.wait_billed([request_id])
+    harness.assert_exact([request_id])
 
 
-def test_planned_stop_under_load_cuts_no_request(rig, pool):
-    leaver = rig.routers[2]
-    ids, futures = rig.start_chats(pool, leaver, 6, tokens=100, stream=True)
-    rig.wait_open(leaver, 3)
+def test_planned_stop_under_load_cuts_no_request(harness, pool):
+    leaver = harness.routers[2]
+    ids, futures = harness.start_chats(pool, leaver, 6, tokens=100, stream=True)
+    harness.wait_open(leaver, 3)
     leaver.process.send_signal(signal.SIGTERM)
     answers = [future.result() for future in futures]
     whole = [body for status, _, body in answers if status == 200]
@@ -230,17 +234,17 @@
     assert len(whole) >= 3
     assert all(problem["outcome"] == "not_run" for problem in refused)
     assert leaver.process.wait(timeout=20) == 0
-    assert not [row for row in rig.fleet.scan("router/") if leaver.instance in row["key"]]
-    rig.assert_exact(ids[: len(whole)] if not refused else ())
+    assert not [row for row in harness.fleet.scan("router/") if leaver.instance in row["key"]]
+    harness.assert_exact(ids[: len(whole)] if not refused else ())
 
 
-def test_leaving_engine_gets_no_new_work_after_two_seconds(rig, pool):
-    engine = f"http://127.0.0.1:{rig.engines[0]}"
+def test_leaving_engine_gets_no_new_work_after_two_seconds(harness, pool):
+    engine = f"http://127.0.0.1:{harness.engines[0]}"
     stop = threading.Event()
 
     def keep_calling():
         while not stop.is_set():
-            rig.send(rig.routers[1], CHAT, rig.chat_body(tokens=5))
+            harness.send(harness.routers[1], CHAT, harness.chat_body(tokens=5))
 
     callers = [pool.submit(keep_calling) for _ in range(4)]
     try:
@@ -262,10 +266,12 @@
     return msgspec.json.decode(http_call("GET", f"{engine}/counts")[2])["refused"]
 
 
-def test_cut_stream_is_resumed_whole_at_the_next_token(rig):
-    engine = f"http://127.0.0.1:{rig.engines[0]}"
+def test_cut_stream_is_resumed_whole_at_the_next_token(harness):
+    engine = f"http://127.0.0.1:{harness.engines[0]}"
     http_call("POST", f"{engine}/faults", {"cut_after_tokens": 7})
-    status, _, body = rig.send(rig.routers[0], CHAT, rig.chat_body(tokens=20, stream=True))
+    status, _, body = harness.send(
+        harness.routers[0], CHAT, harness.chat_body(tokens=20, stream=True)
+    )
     events = [part for part in body.split(b"\n\n") if b'"content"' in part]
     words = [msgspec.json.decode(part[6:])["choices"][0]["delta"]["content"] for part in events]
     assert status == 200
@@ -273,9 +279,9 @@
     assert body.endswith(b"data: [DONE]\n\n")
 
 
-def test_operators_who_race_get_one_conflict(rig):
-    url = f"http://127.0.0.1:{rig.engines[0]}"
-    found = rig.fleet.operator(rig.routers[0], "GET", "/resources/endpoints/draft-1")[1][0]
+def test_operators_who_race_get_one_conflict(harness):
+    url = f"http://127.0.0.1:{harness.engines[0]}"
+    found = harness.fleet.operator(harness.routers[0], "GET", "/resources/endpoints/draft-1")[1][0]
     change = {
         "kind": "endpoints",
         "name": "draft-1",
@@ -283,14 +289,16 @@
         "expected_version": found["version"],
     }
     body = {"changes": [change]}
-    answers = [rig.fleet.operator(router, "POST", "/apply", body) for router in rig.routers[:2]]
+    answers = [
+        harness.fleet.operator(router, "POST", "/apply", body) for router in harness.routers[:2]
+    ]
     assert [status for status, _ in answers] == [200, 409]
     revision = answers[0][1]["revision"]
     started = time.monotonic()
-    rig.fleet.wait_until(
+    harness.fleet.wait_until(
         lambda: all(
-            rig.fleet.operator(router, "GET", "/fleet")[1]["revision"] >= revision
-            for router in rig.routers
+            harness.fleet.operator(router, "GET", "/fleet")[1]["revision"] >= revision
+            for router in harness.routers
         )
     )
     assert time.monotonic() - started < 5.0
--- a/turnward/cli/commands.py
+++ b/turnward/cli/commands.py
@@ -71,7 +71,7 @@
             Resource files; all are checked before any is written.
         """
         from turnward.cli.serving import write_gateway_rows
-        from turnward.gateway.home import load_gateway_resources
+        from turnward.gateway.standalone import load_gateway_resources
 
         if not files:
             raise CommandError("expected one or more files")
@@ -82,8 +82,8 @@
 
     def check(self, *files: str):
         """Check settings and resource files; name every fault."""
-        from turnward.gateway.home import load_gateway_resources
         from turnward.gateway.settings import load_gateway_settings
+        from turnward.gateway.standalone import load_gateway_resources
 
         if not files:
             raise CommandError("expected one or more files")
--- a/turnward/cli/serving.py
+++ b/turnward/cli/serving.py
@@ -8,7 +8,7 @@
 
 from turnward.events import configure_logs, get_log
 from turnward.gateway import Dialect, load_gateway_settings, serve_gateway
-from turnward.gateway.home import HomeSources, TableRows
+from turnward.gateway.standalone import StandaloneSources, TableRows
 from turnward.http import HttpClient
 from turnward.router.process import RouterProcess
 from turnward.rows import RowChange, RowKey, VersionedTransaction
@@ -56,7 +56,7 @@
         url = f"http://{address[0]}:{address[1]}"
         return TableRows(reactor, HttpTable(HttpClient(reactor), url, PLATFORM_TIMEOUT_S))
 
-    serve_gateway(path, load_gateway_settings(path), Dialect(), make_store, HomeSources())
+    serve_gateway(path, load_gateway_settings(path), Dialect(), make_store, StandaloneSources())
 
 
 def write_gateway_rows(url: str, rows: list[tuple[RowKey, bytes]]) -> None:
--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -3,7 +3,7 @@
 
 from turnward.gateway.abandoned_runs import AbandonedRun
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.outcomes import PROMISES_NOT_RUN, Reason
+from turnward.gateway.outcomes import NOT_RUN_STATUSES, Reason
 from turnward.gateway.streams import EventSplitter
 from turnward.http1 import (
     AnswerMatch,
@@ -196,7 +196,7 @@
     def _is_genuine(self, status: int, headers: HeaderList, sealed: bool) -> bool:
         if not sealed:
             return False
-        if status in PROMISES_NOT_RUN and self._owner.must_run_once:
+        if status in NOT_RUN_STATUSES and self._owner.must_run_once:
             # Passed on, it would promise what the endpoint did not say.
             return False
         if self._owner.head_sent and status != 200:
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -305,7 +305,7 @@
 
         Failures lift none: they may be made before the endpoint has its say.
         """
-        if self._limits is None or header_values(headers, self._dialect.limit):
+        if self._limits is None or header_values(headers, self._dialect.rate_limit):
             return
         if self._limits.note_unlimited(record.incarnation, sent_s):
             self.on_rate_limit(record, None, headers)
@@ -418,9 +418,9 @@
         limited = self._limits is not None and not self._is_within_limit(record)
         limited_for_s = self._limits.callers_wait_s(record.incarnation) if limited else 0.0
         waits = (
-            PoolShortage(Reason.ENDPOINTS_RESTING, record.availability.backoff_left_s(now_s)),
+            PoolShortage(Reason.ENDPOINTS_BACKING_OFF, record.availability.backoff_left_s(now_s)),
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
-            PoolShortage(Reason.ENDPOINTS_LIMITED, limited_for_s),
+            PoolShortage(Reason.ENDPOINTS_RATE_LIMITED, limited_for_s),
         )
         return max(waits, key=lambda wait: wait.opens_in_s)
 
--- a/turnward/gateway/endpoint_feedback.py
+++ b/turnward/gateway/endpoint_feedback.py
@@ -57,11 +57,11 @@
     """
     if status == _OTHER_ENDPOINT:
         return None
-    said = header_values(headers, dialect.leaving)
+    said = header_values(headers, dialect.draining)
     draining = any(value.strip() == b"1" for value in said)
     rest_s = parse_retry_after_s(headers) if status in _REST_STATUSES else 0.0
     word = EndpointFeedback(
-        draining, rest_s, parse_limit_per_s(header_values(headers, dialect.limit))
+        draining, rest_s, parse_limit_per_s(header_values(headers, dialect.rate_limit))
     )
     return None if word == _NO_WORD else word
 
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -17,7 +17,7 @@
 from turnward.gateway.configuration import Route, Workspace
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.outcomes import PROMISES_NOT_RUN, NoRepeat, Outcome, Reason
+from turnward.gateway.outcomes import NOT_RUN_STATUSES, NoRetryReason, Outcome, Reason
 from turnward.gateway.pool_admission import PoolAdmission
 from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.progress import StreamProgress
@@ -39,7 +39,7 @@
 from turnward.ledger import Reservation
 from turnward.quarantine import Quarantine, Verdict
 
-__all__ = ["Forwarder", "Forwarding", "ForwardingRules"]
+__all__ = ["Forwarder", "ForwardedRequest", "ForwardingRules"]
 
 #: Bytes of a request's body kept for another send.
 _REPLAY_LIMIT_BYTES = 262_144
@@ -132,8 +132,8 @@
         self.metrics = metrics
         self.draw = draw
         self.never_forwarded = dialect.never_forwarded
-        self.refusing = False
-        self.open: set[Forwarding] = set()
+        self.refuses_new_requests = False
+        self.open_requests: set[ForwardedRequest] = set()
         self._allowances: dict[str, RetryBudgetShare] = {}
         self.entry = PoolAdmission(rules.admission, state, endpoints)
         self.return_times = RetryAfterEstimator(
@@ -142,7 +142,7 @@
 
     def handle(self, request: InboundRequest) -> None:
         """Take a request."""
-        Forwarding(self, request).start()
+        ForwardedRequest(self, request).start()
 
     def note_endpoint_ended(self, record: EndpointRecord) -> None:
         """Note that an endpoint may have ended: what was given up there just before is suspect.
@@ -152,16 +152,16 @@
         for run in record.abandoned.take(self.reactor.seconds()):
             self.quarantine.note_lost(run.content, record.incarnation, run.sent_s)
 
-    def allowance(self, pool: str) -> RetryBudgetShare:
+    def retry_budget(self, pool: str) -> RetryBudgetShare:
         """Return this router's part of the budget of repeats towards a pool."""
-        allowance = self._allowances.get(pool)
-        if allowance is None:
-            allowance = RetryBudgetShare(self.rules.repeats, self.reactor.seconds)
-            self._allowances[pool] = allowance
-        return allowance
+        retry_budget = self._allowances.get(pool)
+        if retry_budget is None:
+            retry_budget = RetryBudgetShare(self.rules.repeats, self.reactor.seconds)
+            self._allowances[pool] = retry_budget
+        return retry_budget
 
 
-class Forwarding:
+class ForwardedRequest:
     """One request under way."""
 
     def __init__(self, forwarder: Forwarder, request: InboundRequest):
@@ -206,7 +206,7 @@
         if len(ids) != 1 or not ids[0] or len(hosts) != 1 or not request.target.startswith(b"/"):
             self._refuse(400, Reason.BAD_REQUEST)
             return
-        if forwarder.refusing:
+        if forwarder.refuses_new_requests:
             self._refuse(503, Reason.STOPPING)
             return
         if not forwarder.state.complete:
@@ -214,7 +214,7 @@
             return
         if self._find_route(hosts[0]) and self._find_workspace() and self._read_limits():
             request.on_gone = self._caller_gone
-            forwarder.open.add(self)
+            forwarder.open_requests.add(self)
             self._reserve()
 
     def _find_route(self, host: bytes) -> bool:
@@ -343,7 +343,7 @@
             self._content = self._read_content()
             if self._is_held_back():
                 return
-            forwarder.allowance(self._pool).note_request()
+            forwarder.retry_budget(self._pool).note_request()
         routes = forwarder.state.routes
         pool = routes.pools.get(self._pool)
         choice = forwarder.endpoints.choose(
@@ -532,37 +532,37 @@
         )
         return False
 
-    def _bar_to_send(self, repeat: bool, ran: bool) -> NoRepeat | None:
+    def _bar_to_send(self, repeat: bool, ran: bool) -> NoRetryReason | None:
         """Return what rules out another endpoint, None if nothing known does."""
         if self._over:
-            return NoRepeat.OVER
+            return NoRetryReason.OVER
         if not self._replayable:
-            return NoRepeat.BODY_NOT_KEPT
+            return NoRetryReason.BODY_NOT_KEPT
         if ran and not self._route.may_repeat:
-            return NoRepeat.RUNS_ONCE
+            return NoRetryReason.RUNS_ONCE
         if self._request.head_sent and not self.resumes:
-            return NoRepeat.ANSWER_BEGUN
+            return NoRetryReason.ANSWER_BEGUN
         if self._deadline_s - self._now_s() < _LEAST_SEND_S:
-            return NoRepeat.TIME
+            return NoRetryReason.TIME
         if not repeat and len(self._tried) >= _ENDPOINTS_LIMIT:
-            return NoRepeat.ENDPOINTS_TRIED
+            return NoRetryReason.ENDPOINTS_TRIED
         if repeat and self._attempts >= self._route.attempts:
-            return NoRepeat.ATTEMPTS
+            return NoRetryReason.ATTEMPTS
         if self._forwarder.quarantine.holds(self._content):
-            return NoRepeat.HELD_BACK
+            return NoRetryReason.HELD_BACK
         forwarder = self._forwarder
         looks = forwarder.rules.looks_for_others
         if looks and not forwarder.endpoints.has_other(self._pool, self._tried):
-            return NoRepeat.NO_OTHER_ENDPOINT
+            return NoRetryReason.NO_OTHER_ENDPOINT
         return None
 
-    def _take_repeat(self, ran: bool) -> NoRepeat | None:
+    def _take_repeat(self, ran: bool) -> NoRetryReason | None:
         """Take what a repeat uses up, or return what there is too little of."""
         if ran and not self._reserve_repeat():
-            return NoRepeat.TOKENS
+            return NoRetryReason.TOKENS
         forwarder = self._forwarder
-        if not forwarder.allowance(self._pool).take(forwarder.live_routers()):
-            return NoRepeat.REPEAT_BUDGET
+        if not forwarder.retry_budget(self._pool).take(forwarder.live_routers()):
+            return NoRetryReason.REPEAT_BUDGET
         return None
 
     def _reserve_repeat(self) -> bool:
@@ -677,7 +677,7 @@
     def _refuse(self, status: int, reason: Reason, **fields) -> None:
         """Answer a request that has not run and will not; the line of its end tells the fields."""
         headers = []
-        if status in PROMISES_NOT_RUN:
+        if status in NOT_RUN_STATUSES:
             headers.append((b"retry-after", b"%g" % self._retry_after_s(reason)))
         self._answer_problem(status, reason, headers)
         self._end(Outcome.REFUSED, status, reason=reason, used_tokens=0, **fields)
@@ -697,7 +697,7 @@
             )
             return False
         sure = quarantine.verdict(self._content) is Verdict.SURE
-        reason = Reason.ENDS_ENDPOINTS if sure else Reason.MAY_END_ENDPOINTS
+        reason = Reason.CRASHES_ENDPOINTS if sure else Reason.MAY_CRASH_ENDPOINTS
         self._forwarder.metrics.requests_held.labels(self._pool, reason).inc()
         self._refuse(503, reason)
         return True
@@ -712,7 +712,7 @@
     def _retry_after_s(self, reason: Reason) -> float:
         """Return when another try may be served."""
         forwarder = self._forwarder
-        if reason in (Reason.ENDS_ENDPOINTS, Reason.MAY_END_ENDPOINTS):
+        if reason in (Reason.CRASHES_ENDPOINTS, Reason.MAY_CRASH_ENDPOINTS):
             return round(forwarder.quarantine.held_for_s(self._content), 1)
         return forwarder.return_times.retry_after_s(reason, self._pool, self._excess_s)
 
@@ -756,7 +756,7 @@
         used = None if sent or self._may_have_run else 0
         self._end(Outcome.CALLER_GONE, None, used_tokens=used)
 
-    def stop_now(self) -> None:
+    def end_at_stop(self) -> None:
         """End at once, at the end of a planned stop."""
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
@@ -789,7 +789,7 @@
             return
         self._over = True
         forwarder = self._forwarder
-        forwarder.open.discard(self)
+        forwarder.open_requests.discard(self)
         if self._on_trial:
             forwarder.quarantine.end_trial(self._content)
         if self._timer is not None and self._timer.active():
--- a/turnward/gateway/outcomes.py
+++ b/turnward/gateway/outcomes.py
@@ -3,10 +3,10 @@
 
 from enum import StrEnum
 
-__all__ = ["PROMISES_NOT_RUN", "NoRepeat", "Outcome", "Reason"]
+__all__ = ["NOT_RUN_STATUSES", "NoRetryReason", "Outcome", "Reason"]
 
 #: Answers that promise that a request has not run.
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Outcome(StrEnum):
@@ -35,18 +35,18 @@
     NO_ENDPOINT = "no_endpoint"
     ENDPOINTS_FULL = "endpoints_full"
     ENDPOINTS_COLD = "endpoints_cold"
-    ENDPOINTS_RESTING = "endpoints_resting"
-    ENDPOINTS_LIMITED = "endpoints_limited"
+    ENDPOINTS_BACKING_OFF = "endpoints_resting"
+    ENDPOINTS_RATE_LIMITED = "endpoints_limited"
     OVERLOADED = "overloaded"
-    ENDS_ENDPOINTS = "ends_endpoints"
-    MAY_END_ENDPOINTS = "may_end_endpoints"
+    CRASHES_ENDPOINTS = "ends_endpoints"
+    MAY_CRASH_ENDPOINTS = "may_end_endpoints"
     TIME_LIMIT = "time_limit"
     ENDPOINT_LOST = "endpoint_lost"
     BAD_ANSWER = "bad_answer"
     STOPPING = "stopping"
 
 
-class NoRepeat(StrEnum):
+class NoRetryReason(StrEnum):
     """Why a request is not sent to another endpoint; for logs."""
 
     OVER = "request_over"
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -468,7 +468,7 @@
             request.answer(404, [])
             return
         metrics = self._metrics
-        metrics.open_requests.set(len(self.forwarder.open))
+        metrics.open_requests.set(len(self.forwarder.open_requests))
         metrics.lines_left_out.inc(self._log.take_left_out())
         metrics.peers_live.set(self.peers.overlay.live_routers - 1)
         metrics.configuration_version.set(self.state.configuration_version)
@@ -579,7 +579,7 @@
         self._log.event(
             "process.figures",
             store_calls=self._metrics.calls_by_kind(),
-            open_requests=len(self.forwarder.open),
+            open_requests=len(self.forwarder.open_requests),
             members=self.book.most_live,
             live=overlay.live_routers,
             tells_others=overlay.tells_others,
@@ -609,7 +609,7 @@
         self.peers.stopping = True
         self.callers.draining = True
         self.accounts.stop()
-        self._log.event("process.stopping", open_requests=len(self.forwarder.open))
+        self._log.event("process.stopping", open_requests=len(self.forwarder.open_requests))
         self._stop_began_s = self._reactor.seconds()
         self._waiting_for_end = self._repeat(self._look_for_end, _LOOK_FOR_END_S)
 
@@ -618,14 +618,14 @@
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
         busy = any(not connection.idle for connection in self.callers.connections)
         if elapsed_s >= _LINGER_S:
-            self.forwarder.refusing = True
+            self.forwarder.refuses_new_requests = True
             self.callers.close_idle()
-        pending = busy or self.forwarder.open or not self.accounts.settled
+        pending = busy or self.forwarder.open_requests or not self.accounts.settled
         if elapsed_s < limit_s and (pending or elapsed_s < _LINGER_S):
             return
         self._waiting_for_end.stop()
-        for forwarding in list(self.forwarder.open):
-            forwarding.stop_now()
+        for forwarding in list(self.forwarder.open_requests):
+            forwarding.end_at_stop()
         for feed in self._feeds:
             feed.stop()
         if not self.accounts.settled:
--- a/turnward/gateway/retry_after.py
+++ b/turnward/gateway/retry_after.py
@@ -17,8 +17,8 @@
 _SPREAD = {
     Reason.ENDPOINTS_COLD: (0.5, 1.5),
     Reason.ENDPOINTS_FULL: (1.0, 1.5),
-    Reason.ENDPOINTS_RESTING: (1.0, 1.5),
-    Reason.ENDPOINTS_LIMITED: (1.0, 1.5),
+    Reason.ENDPOINTS_BACKING_OFF: (1.0, 1.5),
+    Reason.ENDPOINTS_RATE_LIMITED: (1.0, 1.5),
     Reason.OVERLOADED: (1.0, 1.5),
 }
 
--- a/turnward/gateway/home.py
+++ b/turnward/gateway/standalone.py
@@ -38,7 +38,7 @@
     VersionIs,
 )
 
-__all__ = ["GatewayResources", "HomeSources", "TableRows", "load_gateway_resources"]
+__all__ = ["GatewayResources", "StandaloneSources", "TableRows", "load_gateway_resources"]
 
 CONFIGURATION_TABLE = "configuration"
 ENDPOINTS_TABLE = "endpoints"
@@ -135,7 +135,7 @@
     return StoredRow(key, base64.b64decode(value), row.version)
 
 
-class HomeSources(SourcesBase):
+class StandaloneSources(SourcesBase):
     """Configuration and endpoints as ``turnward gateway_apply`` writes them."""
 
     def feeds(self, state):
--- a/turnward/gateway/tests/crash_plays.py
+++ b/turnward/gateway/tests/crash_plays.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from turnward.gateway.tests.rig import ENDPOINT_PORT, Rig, answer_head, events
+from turnward.gateway.tests.harness import ENDPOINT_PORT, Harness, answer_head, encode_events
 
 __all__ = ["CrashPlay", "FallingEndpoint"]
 
@@ -39,14 +39,14 @@
         self._play = play
         self._starts = 0
         self._name = f"engine-{number}"
-        self.endpoint = play.rig.endpoint(self._run, announce=False)
+        self.endpoint = play.harness.endpoint(self._run, announce=False)
         self._announce()
 
     def _announce(self) -> None:
         self._starts += 1
-        rig = self._play.rig
+        harness = self._play.harness
         self.endpoint.endpoint_id = f"{self._name}-{self._starts}"
-        rig.announce(self.endpoint, zone=self._play.zone_of(self))
+        harness.announce(self.endpoint, zone=self._play.zone_of(self))
 
     def _run(self, endpoint, request) -> None:
         body = endpoint.bodies[-1]
@@ -62,7 +62,7 @@
         self._go_on(request, 1)
 
     def _go_on(self, request, number: int) -> None:
-        request.write(events(number, number))
+        request.write(encode_events(number, number))
         if number == EVENT_COUNT:
             request.finish()
             return
@@ -73,13 +73,13 @@
         play = self._play
         play.crashes.append(Crash(play.now_s, self.endpoint.endpoint_id, body))
         self.endpoint.machine.kill()
-        play.rig.network.clock.callLater(BACK_S, self._start_again)
+        play.harness.network.clock.callLater(BACK_S, self._start_again)
 
     def _start_again(self) -> None:
         machine = self.endpoint.machine
         machine.restart()
         machine.listenTCP(ENDPOINT_PORT, self.endpoint.factory)
-        self._play.rig.rows.remove("endpoints", self.endpoint.endpoint_id)
+        self._play.harness.rows.remove("endpoints", self.endpoint.endpoint_id)
         self._announce()
 
 
@@ -113,18 +113,18 @@
         repeat: str = "stream",
         **fields,
     ):
-        self.rig = Rig(routes=(Rig.route(repeat=repeat),), **fields)
+        self.harness = Harness(routes=(Harness.route(repeat=repeat),), **fields)
         self.crashing = crashing
         self.crashes: list[Crash] = []
         self.sends: list[tuple[float, bytes]] = []
         self.endpoints = [FallingEndpoint(self, number) for number in range(endpoints)]
-        self.rig.ready(gateways)
-        self.rig.network.advance(1.0)
+        self.harness.ready(gateways)
+        self.harness.network.advance(1.0)
 
     @property
     def now_s(self) -> float:
         """The network's time."""
-        return self.rig.network.clock.seconds()
+        return self.harness.network.clock.seconds()
 
     def zone_of(self, _: FallingEndpoint) -> str:
         """Return the zone in which an endpoint announces itself."""
@@ -136,12 +136,12 @@
 
     def send(self, body: bytes, gateway: int = 0):
         """Send a request as another caller's connection; return the connection."""
-        return self.rig.send(gateway % len(self.rig.gateways), method=b"POST", body=body)
+        return self.harness.send(gateway % len(self.harness.gateways), method=b"POST", body=body)
 
     def ask(self, body: bytes, gateway: int = 0):
         """Send a request and wait for its answer."""
-        number = gateway % len(self.rig.gateways)
-        return self.rig.ask(number, method=b"POST", body=body)
+        number = gateway % len(self.harness.gateways)
+        return self.harness.ask(number, method=b"POST", body=body)
 
     def sends_after(self, body: bytes, since_s: float) -> int:
         """Return how often a body reached endpoints after a moment."""
--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, answered
+from turnward.gateway.tests.harness import DIALECT, Harness, answer_head, answered
 
 __all__ = ["SimulatedEndpoint", "WordPlay", "max_in_window"]
 
@@ -52,8 +52,8 @@
         self.left_s: dict[str, float] = {}
         self.rests: dict[str, list[tuple[float, float]]] = {}
         self.limited_s: dict[str, float] = {}
-        self.endpoint = play.rig.endpoint(self._take, announce=False)
-        play.rig.announce(self.endpoint, zone=zone)
+        self.endpoint = play.harness.endpoint(self._take, announce=False)
+        play.harness.announce(self.endpoint, zone=zone)
 
     def _take(self, endpoint, request) -> None:
         now_s = self._play.now_s
@@ -79,9 +79,9 @@
         request.answer(200, [*answer_head(request), *self._word()], b"fine")
 
     def _word(self):
-        word = [(DIALECT.leaving, b"1")] if self.draining else []
+        word = [(DIALECT.draining, b"1")] if self.draining else []
         if self.limit_per_s is not None:
-            word.append((DIALECT.limit, b"%g" % self.limit_per_s))
+            word.append((DIALECT.rate_limit, b"%g" % self.limit_per_s))
         return word
 
     def late_sends(self) -> int:
@@ -133,17 +133,17 @@
     """
 
     def __init__(self, gateways: int, endpoints: int, **fields):
-        self.rig = Rig(**fields)
+        self.harness = Harness(**fields)
         self.endpoints = [SimulatedEndpoint(self) for _ in range(endpoints)]
         self.callers: list = []
         self._starts: Counter[str] = Counter()
-        self.rig.ready(gateways)
-        self.rig.network.advance(0.3)
+        self.harness.ready(gateways)
+        self.harness.network.advance(0.3)
 
     @property
     def now_s(self) -> float:
         """The network's time."""
-        return self.rig.network.clock.seconds()
+        return self.harness.network.clock.seconds()
 
     def process_at(self, host: str) -> str:
         """Return the name of the process that runs at a router's address now."""
@@ -162,10 +162,10 @@
     def ask_for(self, seconds: float, pause_s: float = 0.1) -> None:
         """Send a request after each pause, to one gateway after the other."""
         for number in range(round(seconds / pause_s)):
-            self.callers.append(self.rig.send(number % len(self.rig.gateways)))
-            self.rig.network.advance(pause_s)
+            self.callers.append(self.harness.send(number % len(self.harness.gateways)))
+            self.harness.network.advance(pause_s)
 
     def statuses(self) -> list[int]:
         """Wait for all answers and return their statuses."""
-        self.rig.network.advance_until(lambda: all(answered(one) for one in self.callers), 10.0)
+        self.harness.network.advance_until(lambda: all(answered(one) for one in self.callers), 10.0)
         return [caller.status for caller in self.callers]
--- a/turnward/gateway/tests/rig.py
+++ b/turnward/gateway/tests/harness.py
@@ -21,8 +21,8 @@
     Workspace,
     new_incarnation,
 )
-from turnward.gateway.home import HomeSources
 from turnward.gateway.mechanisms import Mechanisms
+from turnward.gateway.standalone import StandaloneSources
 from turnward.http1 import InboundFactory, InboundLimits, header_value
 from turnward.standins import MemoryNetwork, MemoryRows, RowsClient
 
@@ -52,15 +52,15 @@
     def take_left_out(self):
         return 0
 
-    def of(self, event):
+    def with_event(self, event):
         return [line for line in self.lines if line["event"] == event]
 
 
 class Endpoint:
     """A scripted endpoint; ``behave(endpoint, request)`` answers each request."""
 
-    def __init__(self, rig, host, endpoint_id, pool, behave):
-        self.machine = rig.network.machine(host)
+    def __init__(self, harness, host, endpoint_id, pool, behave):
+        self.machine = harness.network.machine(host)
         self.endpoint_id = endpoint_id
         self.pool = pool
         self.address = f"{host}:{ENDPOINT_PORT}"
@@ -68,7 +68,7 @@
         self.requests = []
         self.bodies = []
         self.gone = []
-        self.early = False
+        self.answers_early = False
         self.factory = InboundFactory(self.machine, self._handle, InboundLimits())
         self.machine.listenTCP(ENDPOINT_PORT, self.factory)
 
@@ -79,7 +79,7 @@
         if expected is not None and expected != self.endpoint_id.encode():
             request.answer(421, [])
             return
-        if self.early:
+        if self.answers_early:
             self.behave(self, request)
             return
         parts = []
@@ -104,26 +104,26 @@
     return [(DIALECT.request_id, request_id), (DIALECT.answer_seal, seal)]
 
 
-def well(endpoint, request, body=b"fine"):
+def answer_ok(endpoint, request, body=b"fine"):
     """Answer in full."""
     request.answer(200, answer_head(request), body)
 
 
-def full(endpoint, request):
+def answer_not_run(endpoint, request):
     """Say that the request was not run."""
     request.answer(503, [(DIALECT.not_run, b"1")])
 
 
-def silent(endpoint, request):
+def never_answer(endpoint, request):
     """Say nothing."""
 
 
-def reset(endpoint, request):
+def abort_connection(endpoint, request):
     """Cut the connection instead of an answer."""
     request.abort()
 
 
-def raw(data):
+def raw_answer(data):
     """Return a behaviour that writes bytes as they are, with the id filled in."""
 
     def behave(endpoint, request):
@@ -133,21 +133,21 @@
     return behave
 
 
-def events(first, last, size=5):
+def encode_events(first, last, size=5):
     """Return the bytes of events with rising ids."""
     return b"".join(
         b"id: %d\ndata: %b\n\n" % (number, b"x" * size) for number in range(first, last + 1)
     )
 
 
-def stream(count, upto=None, then=None):
+def stream_events(count, up_to=None, then=None):
     """Return a behaviour that streams events, all or up to one, and then does ``then``."""
 
     def behave(endpoint, request):
         after = header_value(request.headers, DIALECT.last_event_id)
         first = int(after) + 1 if after else 1
         request.start(200, [*answer_head(request), (b"content-type", b"text/event-stream")], None)
-        request.write(events(first, count if upto is None else upto))
+        request.write(encode_events(first, count if up_to is None else up_to))
         if then is None:
             request.finish()
         else:
@@ -194,7 +194,7 @@
         return self._caller
 
 
-class Rig:
+class Harness:
     """A small deployment."""
 
     #: Part of each limit that gateways keep for the end.
@@ -281,7 +281,7 @@
             new_incarnation(node),
             DIALECT,
             client,
-            HomeSources(),
+            StandaloneSources(),
             log,
             GatewayMetrics(),
             random.Random(len(self.gateways)),
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -13,7 +13,7 @@
 from turnward.gateway.tests.test_choice import World, omit
 
 DIALECT = Dialect()
-LEAVING = [(DIALECT.leaving, b"1")]
+LEAVING = [(DIALECT.draining, b"1")]
 DRAINING = EndpointFeedback(draining=True)
 
 
@@ -140,7 +140,7 @@
     assert world.choose() is None
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
-    assert shortage.reason is Reason.ENDPOINTS_RESTING
+    assert shortage.reason is Reason.ENDPOINTS_BACKING_OFF
     assert 2.0 <= shortage.opens_in_s <= 2.0 * 1.25
     world.now_s += 2.0 * 1.25
     assert chosen(world) == {"e-1"}
--- a/turnward/gateway/tests/test_builds_side_by_side.py
+++ b/turnward/gateway/tests/test_builds_side_by_side.py
@@ -26,7 +26,7 @@
 from turnward.gateway.rate_limit import ToldLimit
 from turnward.gateway.spending import SpendReport
 from turnward.gateway.state import EndpointsSnapshot
-from turnward.gateway.tests.rig import Rig, well
+from turnward.gateway.tests.harness import Harness, answer_ok
 
 RECORDED = sorted((Path(__file__).parent / "recorded").glob("*.json"))
 TYPES = {
@@ -163,48 +163,48 @@
 @pytest.mark.parametrize("layout", [4, 5, 6])
 @pytest.mark.parametrize("gateways", [2, 4, 14])
 def test_routers_of_both_builds_hear_each_other(layout, gateways):
-    rig = Rig()
-    rig.endpoint(well)
-    rig.rows.put("configuration", "all", msgspec.json.encode(rig.configuration))
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.rows.put("configuration", "all", msgspec.json.encode(harness.configuration))
     for number in range(gateways):
-        process = rig.gateway()
+        process = harness.gateway()
         if number % 2:
             as_build(process, layout)
-    assert rig.network.advance_until(lambda: all(one.ready for one in rig.gateways))
-    rig.network.advance(4.0)
-    assert [one.peers.overlay.live_routers for one in rig.gateways] == [gateways] * gateways
+    assert harness.network.advance_until(lambda: all(one.ready for one in harness.gateways))
+    harness.network.advance(4.0)
+    assert [one.peers.overlay.live_routers for one in harness.gateways] == [gateways] * gateways
 
 
 def test_builds_that_read_their_own_layout_only_are_apart():
     """As it was: the later build spoke its own layout to all."""
-    rig = Rig()
-    rig.endpoint(well)
-    rig.rows.put("configuration", "all", msgspec.json.encode(rig.configuration))
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.rows.put("configuration", "all", msgspec.json.encode(harness.configuration))
     for layout in (5, 6, 5, 6):
-        as_build(rig.gateway(), layout)
-    rig.network.advance(6.0)
-    assert [one.peers.overlay.live_routers for one in rig.gateways] == [2] * 4
+        as_build(harness.gateway(), layout)
+    harness.network.advance(6.0)
+    assert [one.peers.overlay.live_routers for one in harness.gateways] == [2] * 4
 
 
 def test_layout_that_is_not_known_is_counted_and_told_once():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready(gateways=2)
-    as_build(rig.gateways[1], 3)
-    rig.network.advance(3.0)
-    first = rig.gateways[0]
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready(gateways=2)
+    as_build(harness.gateways[1], 3)
+    harness.network.advance(3.0)
+    first = harness.gateways[0]
     assert first.peers.refused_count >= 5
-    (line,) = rig.logs[0].of("peer.unreadable")
-    assert (line["host"], line["layout"]) == (rig.machines[1].host, 3)
+    (line,) = harness.logs[0].with_event("peer.unreadable")
+    assert (line["host"], line["layout"]) == (harness.machines[1].host, 3)
 
 
 def test_bytes_that_are_no_message_are_counted_and_told_once():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    exchange = rig.gateways[0].peers.exchange
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    exchange = harness.gateways[0].peers.exchange
     for junk in (b"", b"\xff\x00", b"[]", msgspec.msgpack.encode(["digest", 6])):
         exchange.datagramReceived(junk, ("10.9.9.9", 1))
-    assert rig.gateways[0].peers.refused_count == 4
-    (line,) = rig.logs[0].of("peer.unreadable")
+    assert harness.gateways[0].peers.refused_count == 4
+    (line,) = harness.logs[0].with_event("peer.unreadable")
     assert line["layout"] is None
--- a/turnward/gateway/tests/test_crashing_requests.py
+++ b/turnward/gateway/tests/test_crashing_requests.py
@@ -37,7 +37,7 @@
     for turn in range(40):
         play.send(FATAL, turn)
         play.send(b"harmless %d" % turn, turn + 1)
-        play.rig.network.advance(0.5)
+        play.harness.network.advance(0.5)
     assert play.sends_after(FATAL, play.third_crash_s(FATAL) + KNOWN_S) <= SENDS_LIMIT
     assert len(play.crashes) <= 3 + SENDS_LIMIT
 
@@ -49,8 +49,8 @@
             break
         # One that ended at another router may be tried in vain.
         play.ask(body, gateway + turn)
-        play.rig.network.advance(0.2)
-    play.rig.network.advance(KNOWN_S)
+        play.harness.network.advance(0.2)
+    play.harness.network.advance(KNOWN_S)
 
 
 def test_held_back_request_is_refused_at_once_as_not_run():
@@ -69,20 +69,20 @@
     play = CrashPlay(gateways=3, endpoints=4, crashing=(FATAL,))
     hold_back(play)
     ended = {crash.endpoint_id for crash in play.crashes}
-    for log in play.rig.logs:
-        (line,) = log.of("content.held")
+    for log in play.harness.logs:
+        (line,) = log.with_event("content.held")
         assert set(line["endpoints"]) == ended
     refused = play.ask(FATAL)
     assert refused.status == 503
-    assert play.rig.logs[0].of("request.ended")[-1]["content"] == line["content"]
+    assert play.harness.logs[0].with_event("request.ended")[-1]["content"] == line["content"]
 
 
 def test_router_that_starts_later_is_told_what_is_held_back():
     play = CrashPlay(gateways=3, endpoints=4, crashing=(FATAL,))
     hold_back(play)
-    play.rig.network.advance(30.0)
-    play.rig.gateway()
-    play.rig.network.advance(2.0)
+    play.harness.network.advance(30.0)
+    play.harness.gateway()
+    play.harness.network.advance(2.0)
     assert play.ask(FATAL, 3).status == 503
     assert len(play.crashes) == 3
 
@@ -96,8 +96,8 @@
         beside.extend(play.send(b"harmless %d" % turn, turn + n) for n in range(4))
         # Callers of those that broke off come again.
         beside.extend(play.send(b"harmless %d" % (turn - 10), turn + 1) for _ in range(turn > 9))
-        play.rig.network.advance(0.1)
-    play.rig.network.advance(5.0)
+        play.harness.network.advance(0.1)
+    play.harness.network.advance(5.0)
     assert not any(b"ends_endpoints" in caller.received for caller in beside)
 
 
@@ -106,13 +106,13 @@
     for turn in range(40):
         for other in range(6):
             play.send(b"harmless %d %d" % (turn, other), turn)
-        play.rig.network.advance(0.2)
+        play.harness.network.advance(0.2)
         leaving = play.send(FATAL, turn)
-        play.rig.network.advance(0.03)
+        play.harness.network.advance(0.03)
         leaving.transport.abortConnection()
-        play.rig.network.advance(0.3)
+        play.harness.network.advance(0.3)
     assert play.sends_after(FATAL, play.third_crash_s(FATAL) + KNOWN_S) <= SENDS_LIMIT
-    play.rig.network.advance(5.0)
+    play.harness.network.advance(5.0)
     assert play.ask(b"harmless at the end").status == 200
 
 
@@ -129,12 +129,12 @@
     play = CrashPlay(gateways=2, endpoints=5, crashing=(body,))
     hold_back(play, body)
     assert play.ask(body).status == 503
-    chunked = play.rig.connect()
-    head = play.rig.request_bytes(
+    chunked = play.harness.connect()
+    head = play.harness.request_bytes(
         method=b"POST", headers=((b"Transfer-Encoding", b"chunked"),), body=None
     )
     chunked.transport.write(head + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
-    play.rig.network.advance_until(lambda: chunked.received)
+    play.harness.network.advance_until(lambda: chunked.received)
     assert b"ends_endpoints" in chunked.received
     assert len(play.crashes) == 3
 
@@ -144,7 +144,7 @@
     play = CrashPlay(gateways=4, endpoints=8, crashing=bodies)
     for turn in range(60):
         play.send(bodies[turn % 3], turn)
-        play.rig.network.advance(0.4)
+        play.harness.network.advance(0.4)
     for body in bodies:
         assert play.sends_after(body, play.third_crash_s(body) + KNOWN_S) <= SENDS_LIMIT
         assert play.ask(body).status == 503
@@ -157,8 +157,8 @@
     play.crashing = ()
     assert play.ask(FATAL).status == 503
     assert play.ask(FATAL + b"!").status == 200
-    assert play.rig.ask(method=b"POST", body=FATAL, path=b"/a/y").status == 200
-    assert play.rig.ask(method=b"POST", body=FATAL, key=b"key-b").status == 200
+    assert play.harness.ask(method=b"POST", body=FATAL, path=b"/a/y").status == 200
+    assert play.harness.ask(method=b"POST", body=FATAL, key=b"key-b").status == 200
 
 
 def test_endpoints_that_end_for_another_reason_hold_nothing_back():
@@ -169,9 +169,9 @@
         if turn % 6 == 0:
             play.endpoints[turn // 6 % 5].end()
         callers.extend(play.send(b"ask %d" % (turn // 4), turn + n) for n in range(3))
-        play.rig.network.advance(0.2)
-    play.rig.network.advance(5.0)
-    assert not any(log.of("content.held") for log in play.rig.logs)
+        play.harness.network.advance(0.2)
+    play.harness.network.advance(5.0)
+    assert not any(log.with_event("content.held") for log in play.harness.logs)
 
 
 def test_connections_that_are_reset_everywhere_hold_nothing_back():
@@ -180,49 +180,49 @@
     for _ in range(4):
         for number in range(24):
             play.send(b"asked by all", number)
-        play.rig.network.advance(0.3)
+        play.harness.network.advance(0.3)
         for falling in play.endpoints:
             for connection in list(falling.endpoint.machine.connections):
                 connection.abortConnection()
-        play.rig.network.advance(1.0)
+        play.harness.network.advance(1.0)
     assert play.ask(b"asked by all").status == 200
-    assert not any(log.of("content.held") for log in play.rig.logs)
+    assert not any(log.with_event("content.held") for log in play.harness.logs)
 
 
 @pytest.mark.parametrize("size", [7, 24])
 def test_word_of_it_is_everywhere_in_a_second(size):
     play = CrashPlay(gateways=size, endpoints=6, crashing=(FATAL,))
-    play.rig.network.advance(4.0)
+    play.harness.network.advance(4.0)
     for turn in range(3):
         play.ask(FATAL, turn * 5)
     for _ in range(20):
-        knowing = [gateway.quarantine.held_count for gateway in play.rig.gateways]
+        knowing = [gateway.quarantine.held_count for gateway in play.harness.gateways]
         if all(knowing):
             break
-        play.rig.network.advance(0.1)
+        play.harness.network.advance(0.1)
     assert all(knowing)
     assert play.now_s - play.third_crash_s(FATAL) <= KNOWN_S
 
 
-def start_again(rig, number):
+def start_again(harness, number):
     """Start another process in the place of a gateway that was killed."""
-    machine = rig.machines[number]
+    machine = harness.machines[number]
     machine.restart()
-    rig.run_gateway(machine, f"node-{number + 1}")
+    harness.run_gateway(machine, f"node-{number + 1}")
     # It was appended; it takes the place of the one before.
-    for kept in (rig.gateways, rig.machines, rig.logs):
+    for kept in (harness.gateways, harness.machines, harness.logs):
         kept[number] = kept.pop()
 
 
 def kill_all(play):
     """Kill all gateways at once, and start others in their places."""
-    rig = play.rig
-    for machine in rig.machines:
+    harness = play.harness
+    for machine in harness.machines:
         machine.kill()
-    rig.network.advance(0.5)
-    for number in range(len(rig.gateways)):
-        start_again(rig, number)
-    assert rig.network.advance_until(lambda: all(gateway.ready for gateway in rig.gateways))
+    harness.network.advance(0.5)
+    for number in range(len(harness.gateways)):
+        start_again(harness, number)
+    assert harness.network.advance_until(lambda: all(gateway.ready for gateway in harness.gateways))
 
 
 def test_what_is_held_back_outlasts_the_death_of_all_routers():
@@ -230,7 +230,7 @@
     hold_back(play)
     for _ in range(2):
         kill_all(play)
-        play.rig.network.advance(0.1)
+        play.harness.network.advance(0.1)
         for gateway in range(3):
             assert play.ask(FATAL, gateway).status == 503
     assert len(play.crashes) == 3
@@ -238,48 +238,50 @@
 
 def test_what_is_held_back_is_written_once_the_store_is_back():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
-    for client in play.rig.clients:
+    for client in play.harness.clients:
         client.faults.away = True
     hold_back(play)
-    for client in play.rig.clients:
+    for client in play.harness.clients:
         client.faults.away = False
-    play.rig.network.advance(3.0)
+    play.harness.network.advance(3.0)
     kill_all(play)
-    play.rig.network.advance(0.1)
+    play.harness.network.advance(0.1)
     assert play.ask(FATAL).status == 503
 
 
 def test_what_is_held_back_is_written_anew_when_the_store_has_lost_it():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
-    copy = play.rig.rows.copy()
+    copy = play.harness.rows.copy()
     hold_back(play)
-    assert play.rig.rows.table("quarantine", "")
-    play.rig.rows.go_back(copy, written_again=("configuration", "endpoints"))
-    play.rig.network.advance(3.0)
+    assert play.harness.rows.table("quarantine", "")
+    play.harness.rows.go_back(copy, written_again=("configuration", "endpoints"))
+    play.harness.network.advance(3.0)
     kill_all(play)
-    play.rig.network.advance(0.1)
+    play.harness.network.advance(0.1)
     assert play.ask(FATAL).status == 503
 
 
 def test_row_goes_when_the_content_is_answered_and_when_it_is_old():
     play = CrashPlay(gateways=2, endpoints=6, crashing=(FATAL,))
     hold_back(play)
-    assert len(play.rig.rows.table("quarantine", "")) == 1
-    for gateway in play.rig.gateways:
-        gateway.quarantine.note_served(play.rig.logs[0].of("content.held")[0]["content"])
-    play.rig.network.advance(1.0)
-    assert not play.rig.rows.table("quarantine", "")
+    assert len(play.harness.rows.table("quarantine", "")) == 1
+    for gateway in play.harness.gateways:
+        gateway.quarantine.note_served(
+            play.harness.logs[0].with_event("content.held")[0]["content"]
+        )
+    play.harness.network.advance(1.0)
+    assert not play.harness.rows.table("quarantine", "")
 
 
 def test_unreadable_row_loses_only_itself():
     play = CrashPlay(gateways=2, endpoints=6, crashing=(FATAL,))
     hold_back(play)
-    play.rig.rows.put("quarantine", "bad", b"\xff\x00 nothing")
-    play.rig.rows.put("quarantine", "worse", b'{"lost": 3}')
+    play.harness.rows.put("quarantine", "bad", b"\xff\x00 nothing")
+    play.harness.rows.put("quarantine", "worse", b'{"lost": 3}')
     kill_all(play)
-    play.rig.network.advance(0.1)
+    play.harness.network.advance(0.1)
     assert play.ask(FATAL).status == 503
-    unreadable = play.rig.logs[0].of("row.unreadable")
+    unreadable = play.harness.logs[0].with_event("row.unreadable")
     assert {line["key"] for line in unreadable} == {"bad", "worse"}
 
 
@@ -289,25 +291,25 @@
     for _ in range(60):
         for number in range(3):
             play.send(b"asked by all", number)
-        play.rig.network.advance(0.05)
+        play.harness.network.advance(0.05)
         for falling in play.endpoints:
             for connection in list(falling.endpoint.machine.connections):
                 connection.abortConnection()
     assert play.ask(b"asked by all").status == 503
-    play.rig.network.advance(13.0)
+    play.harness.network.advance(13.0)
     assert all(play.ask(b"asked by all", number).status == 200 for number in range(3))
 
 
 def test_endpoints_that_ended_are_not_taken_for_living_while_the_store_is_away():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
     hold_back(play)
-    for client in play.rig.clients:
+    for client in play.harness.clients:
         client.faults.away = True
-    play.rig.network.advance(25.0)
+    play.harness.network.advance(25.0)
     assert play.ask(FATAL).status == 503
-    for client in play.rig.clients:
+    for client in play.harness.clients:
         client.faults.away = False
-    play.rig.network.advance(25.0)
+    play.harness.network.advance(25.0)
     for gateway in range(3):
         assert play.ask(FATAL, gateway).status == 503
     assert len(play.crashes) == 3
@@ -315,28 +317,28 @@
 
 def trouble(play, draw, kind):
     """Bring about a trouble of the routers, and return what ends it."""
-    rig = play.rig
-    count = len(rig.gateways)
+    harness = play.harness
+    count = len(harness.gateways)
     chosen = draw.sample(range(count), max(1, count // 4))
     if kind == "frozen":
         for number in chosen:
-            rig.machines[number].freeze()
-        return lambda: [rig.machines[number].wake() for number in chosen]
+            harness.machines[number].freeze()
+        return lambda: [harness.machines[number].wake() for number in chosen]
     if kind == "apart":
-        hosts = {rig.machines[number].host for number in chosen}
-        others = {machine.host for machine in rig.machines} - hosts
+        hosts = {harness.machines[number].host for number in chosen}
+        others = {machine.host for machine in harness.machines} - hosts
         pairs = [(one, other) for one in hosts for other in others]
         for pair in pairs:
-            rig.network.cut(*pair)
-        return lambda: [rig.network.heal(*pair) for pair in pairs]
+            harness.network.cut(*pair)
+        return lambda: [harness.network.heal(*pair) for pair in pairs]
     if kind == "restarted":
         for number in chosen:
-            rig.machines[number].kill()
-            start_again(rig, number)
+            harness.machines[number].kill()
+            start_again(harness, number)
     if kind == "store":
-        for client in rig.clients:
+        for client in harness.clients:
             client.faults.away = True
-        return lambda: [setattr(client.faults, "away", False) for client in rig.clients]
+        return lambda: [setattr(client.faults, "away", False) for client in harness.clients]
     return lambda: None
 
 
@@ -349,7 +351,7 @@
     """
     draw = random.Random(seed)
     play = CrashPlay(gateways=size, endpoints=12, crashing=(FATAL,))
-    play.rig.network.advance(4.0)
+    play.harness.network.advance(4.0)
     ending = None
     troubled = 0
     for turn in range(60):
@@ -360,10 +362,10 @@
             ending = trouble(play, draw, kind)
         play.send(FATAL, draw.randrange(size))
         play.send(b"harmless %d" % turn, draw.randrange(size))
-        play.rig.network.advance(0.4)
+        play.harness.network.advance(0.4)
         if turn % 10 == 8:
             ending()
     late = play.sends_after(FATAL, play.third_crash_s(FATAL) + KNOWN_S)
     assert late <= SENDS_LIMIT + troubled, (late, troubled)
-    play.rig.network.advance(3.0)
+    play.harness.network.advance(3.0)
     assert all(play.ask(FATAL, number).status == 503 for number in range(size))
--- a/turnward/gateway/tests/test_end_reserve.py
+++ b/turnward/gateway/tests/test_end_reserve.py
@@ -6,7 +6,7 @@
 from turnward.gateway import Workspace
 from turnward.gateway.accounts import AccountRow
 from turnward.gateway.end_reserve import EndReserve, EndReserveRule
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, Rig, stream
+from turnward.gateway.tests.harness import ENGINE_POOL, KEY, Harness, stream_events
 from turnward.gateway.tests.test_prepaid import PrepaidSimulation, random_schedule
 
 RULE = EndReserveRule(share=0.1, release_s=40.0)
@@ -95,24 +95,24 @@
 def ask_until_dry(reserve_share, small=20, large=2_000):
     """Return how many small requests are served after large ones have used all up."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=20_000)
-    rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), priority=0)
-    rig.budget_reserve_share = reserve_share
-    rig.endpoint(stream(1))
-    rig.ready()
-    rig.network.advance(1.0)
+    harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), priority=0)
+    harness.budget_reserve_share = reserve_share
+    harness.endpoint(stream_events(1))
+    harness.ready()
+    harness.network.advance(1.0)
 
     def ask(tokens):
-        return rig.ask(method=b"POST", body=b"", headers=rig.prompt(tokens, 5)).status
+        return harness.ask(method=b"POST", body=b"", headers=harness.prompt(tokens, 5)).status
 
     while ask(large) == 200:
-        rig.network.advance(0.3)
+        harness.network.advance(0.3)
     while ask(small) == 200 and reserve_share == 0:
-        rig.network.advance(0.1)
+        harness.network.advance(0.1)
     served = 0
     for _ in range(60):
         served += ask(small) == 200
-        rig.network.advance(0.2)
-    used = sum(len(endpoint.requests) for endpoint in rig.endpoints)
+        harness.network.advance(0.2)
+    used = sum(len(endpoint.requests) for endpoint in harness.endpoints)
     assert used * small <= 20_000
     return served
 
--- a/turnward/gateway/tests/test_endpoint_feedback.py
+++ b/turnward/gateway/tests/test_endpoint_feedback.py
@@ -14,8 +14,8 @@
 )
 
 DIALECT = Dialect()
-LEAVING = DIALECT.leaving
-LIMIT = DIALECT.limit
+LEAVING = DIALECT.draining
+LIMIT = DIALECT.rate_limit
 ANSWERED = (b"date", b"Thu, 03 Dec 2026 10:00:00 GMT")
 
 
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -7,7 +7,7 @@
 from turnward.gateway import FleetState
 from turnward.gateway.peer_book import EndpointLoad
 from turnward.gateway.state import EndpointsSnapshot
-from turnward.gateway.tests.rig import Rig, reset, well
+from turnward.gateway.tests.harness import Harness, abort_connection, answer_ok
 from turnward.gateway.tests.test_choice import ENGINE, World, prompt
 
 
@@ -96,29 +96,29 @@
 
 
 def test_restarted_endpoint_gets_requests_at_once():
-    rig = Rig(attempts=1)
-    endpoint = rig.endpoint(reset, announce=False)
-    other = rig.endpoint(well)
-    rig.announce(endpoint, born_ms=1_000)
-    rig.ready()
+    harness = Harness(attempts=1)
+    endpoint = harness.endpoint(abort_connection, announce=False)
+    other = harness.endpoint(answer_ok)
+    harness.announce(endpoint, born_ms=1_000)
+    harness.ready()
     for _ in range(8):
-        rig.ask(path=b"/a/%d" % rig._ids)
+        harness.ask(path=b"/a/%d" % harness._ids)
     # It rests for up to four seconds by now.
-    assert rig.logs[0].of("endpoint.lost")
-    endpoint.behave = well
-    rig.announce(endpoint, born_ms=2_000)
-    rig.network.advance(0.2)
+    assert harness.logs[0].with_event("endpoint.lost")
+    endpoint.behave = answer_ok
+    harness.announce(endpoint, born_ms=2_000)
+    harness.network.advance(0.2)
     before = len(endpoint.requests)
     for _ in range(6):
-        assert rig.ask().status == 200
+        assert harness.ask().status == 200
     assert len(endpoint.requests) > before
     assert other.requests
 
 
 def test_log_lines_name_the_incarnation():
-    rig = Rig(attempts=1)
-    endpoint = rig.endpoint(well, announce=False)
-    rig.announce(endpoint, born_ms=1_000)
-    rig.ready()
-    rig.ask()
-    assert rig.logs[0].of("attempt.chosen")[0]["endpoint"] == "e-1@1000"
+    harness = Harness(attempts=1)
+    endpoint = harness.endpoint(answer_ok, announce=False)
+    harness.announce(endpoint, born_ms=1_000)
+    harness.ready()
+    harness.ask()
+    assert harness.logs[0].with_event("attempt.chosen")[0]["endpoint"] == "e-1@1000"
--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -17,7 +17,7 @@
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.peer_book import EndpointLoad
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
-from turnward.gateway.tests.rig import ENGINE_POOL, Rig, answer_head, events
+from turnward.gateway.tests.harness import ENGINE_POOL, Harness, answer_head, encode_events
 
 ENGINE = EngineTraits(slots=64, event_tokens=3)
 SHORT = Prompt(600, 300, parse_prompt_parts("aa:120,own:480"))
@@ -166,9 +166,9 @@
 
 def test_pause_target_of_a_pool_is_the_shortest_of_its_streams():
     routes = [
-        Rig.route(name="a", path_prefix="/a/", repeat=Repeat.STREAM, pause_target_s=0.5),
-        Rig.route(name="b", path_prefix="/b/", repeat=Repeat.STREAM, pause_target_s=0.3),
-        Rig.route(name="c", path_prefix="/c/", pause_target_s=0.1),
+        Harness.route(name="a", path_prefix="/a/", repeat=Repeat.STREAM, pause_target_s=0.5),
+        Harness.route(name="b", path_prefix="/b/", repeat=Repeat.STREAM, pause_target_s=0.3),
+        Harness.route(name="c", path_prefix="/c/", pause_target_s=0.1),
     ]
     table = RouteTable(Configuration(version=1, routes=tuple(routes)))
     assert table.pause_targets_s == {"pool": 0.3}
@@ -193,7 +193,7 @@
         request.start(200, [*answer_head(request), (b"content-type", b"text/event-stream")], None)
 
         def send(number):
-            request.write(events(number, number))
+            request.write(encode_events(number, number))
             if number == 60:
                 request.finish()
             else:
@@ -207,21 +207,25 @@
 
 @pytest.mark.parametrize("weighs_pace", [True, False])
 def test_gateways_measure_speed_from_forwarded_streams(weighs_pace):
-    rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, time_limit_s=20.0, pause_target_s=0.3)
-    rig.mechanisms = Mechanisms(weighs_pace=weighs_pace)
+    harness = Harness(
+        pools=(ENGINE_POOL,), repeat=Repeat.STREAM, time_limit_s=20.0, pause_target_s=0.3
+    )
+    harness.mechanisms = Mechanisms(weighs_pace=weighs_pace)
     for gap_s in (0.02, 0.03, 0.02):
-        rig.endpoint(slow_stream(gap_s))
-    rig.ready(gateways=2)
-    rig.network.advance(1.0)
-    callers = [rig.send(method=b"POST", body=b"", headers=rig.prompt(600, 9)) for _ in range(9)]
-    assert rig.network.advance_until(
+        harness.endpoint(slow_stream(gap_s))
+    harness.ready(gateways=2)
+    harness.network.advance(1.0)
+    callers = [
+        harness.send(method=b"POST", body=b"", headers=harness.prompt(600, 9)) for _ in range(9)
+    ]
+    assert harness.network.advance_until(
         lambda: all(caller.received.endswith(b"0\r\n\r\n") for caller in callers)
     )
-    rig.network.advance(0.5)
-    before = len(rig.endpoints[1].requests)
+    harness.network.advance(0.5)
+    before = len(harness.endpoints[1].requests)
     for number in range(20):
-        headers = rig.prompt(9_000, 9, b"%x:6000,%x:3000" % (number + 1, number + 99))
-        rig.send(gateway=0, method=b"POST", body=b"", headers=headers)
-    assert (len(rig.endpoints[1].requests) == before) is weighs_pace
-    changed = [line["endpoint"] for line in rig.logs[0].of("endpoint.pace")]
+        headers = harness.prompt(9_000, 9, b"%x:6000,%x:3000" % (number + 1, number + 99))
+        harness.send(gateway=0, method=b"POST", body=b"", headers=headers)
+    assert (len(harness.endpoints[1].requests) == before) is weighs_pace
+    changed = [line["endpoint"] for line in harness.logs[0].with_event("endpoint.pace")]
     assert changed == (["e-2"] if weighs_pace else [])
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -6,7 +6,7 @@
 
 from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
 from turnward.gateway.tests.feedback_simulation import WordPlay
-from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, well
+from turnward.gateway.tests.harness import DIALECT, Harness, answer_head, answer_ok
 
 #: Seconds in which word is with all routers.
 KNOWN_S = 1.0
@@ -75,7 +75,7 @@
     resting.rest_s = 5.0
     while not resting.sends:
         play.ask_for(0.1, pause_s=0.02)
-    play.rig.network.advance(KNOWN_S)
+    play.harness.network.advance(KNOWN_S)
     sends = len(resting.sends)
     play.ask_for(2.0, pause_s=0.02)
     assert len(resting.sends) == sends
@@ -83,25 +83,25 @@
 
 
 def test_peer_feedback_never_excludes_an_endpoint():
-    rig = Rig()
+    harness = Harness()
 
-    def leaving(endpoint, request):
-        request.answer(200, [*answer_head(request), (DIALECT.leaving, b"1")], b"fine")
+    def draining(endpoint, request):
+        request.answer(200, [*answer_head(request), (DIALECT.draining, b"1")], b"fine")
 
-    endpoint = rig.endpoint(leaving)
-    rig.ready(2)
-    rig.network.advance(0.5)
-    assert rig.ask(0).status == 200
-    rig.network.advance(KNOWN_S)
-    assert rig.logs[1].of("endpoint.told_of")[0]["leaves"]
-    endpoint.behave = well
-    assert rig.ask(0).status == 503
-    assert rig.ask(1).status == 200
+    endpoint = harness.endpoint(draining)
+    harness.ready(2)
+    harness.network.advance(0.5)
+    assert harness.ask(0).status == 200
+    harness.network.advance(KNOWN_S)
+    assert harness.logs[1].with_event("endpoint.told_of")[0]["leaves"]
+    endpoint.behave = answer_ok
+    assert harness.ask(0).status == 503
+    assert harness.ask(1).status == 200
 
 
 def test_feedback_on_an_unknown_endpoint_is_ignored():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    rig.gateways[0]._word_news.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
-    assert rig.ask().status == 200
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    harness.gateways[0]._word_news.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
+    assert harness.ask().status == 200
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -21,17 +21,17 @@
 from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.tests.feedback_simulation import WordPlay
-from turnward.gateway.tests.rig import (
+from turnward.gateway.tests.harness import (
     DIALECT,
     ENGINE_POOL,
-    Rig,
+    Harness,
     answer_head,
+    answer_ok,
     answered,
     dechunk,
-    events,
-    raw,
-    stream,
-    well,
+    encode_events,
+    raw_answer,
+    stream_events,
 )
 from turnward.gateway.tests.test_crashing_requests import trouble
 from turnward.gateway.tests.test_forwarding import reason
@@ -57,13 +57,13 @@
 
 
 def leaving_head(request):
-    return [*answer_head(request), (DIALECT.leaving, b"1")]
+    return [*answer_head(request), (DIALECT.draining, b"1")]
 
 
 def leaving_stream(endpoint, request):
     """Begin a stream whose head tells that the endpoint leaves, and go on for ever."""
     request.start(200, [*leaving_head(request), (b"content-type", b"text/event-stream")], None)
-    request.write(events(1, 1))
+    request.write(encode_events(1, 1))
 
 
 def leaving_cut(endpoint, request):
@@ -78,11 +78,11 @@
 
 
 def leaving_refusal(endpoint, request):
-    request.answer(503, [(DIALECT.not_run, b"1"), (DIALECT.leaving, b"1")])
+    request.answer(503, [(DIALECT.not_run, b"1"), (DIALECT.draining, b"1")])
 
 
 def leaving_without_an_id(endpoint, request):
-    request.answer(200, [(DIALECT.leaving, b"1")], b"whose")
+    request.answer(200, [(DIALECT.draining, b"1")], b"whose")
 
 
 #: An answer that comes between, before any that counts.
@@ -97,83 +97,83 @@
         leaving_error,
         leaving_refusal,
         leaving_without_an_id,
-        raw(INFORMATIONAL),
+        raw_answer(INFORMATIONAL),
     ],
 )
 def test_feedback_in_any_kind_of_response_applies_at_once(behave):
-    rig = Rig(time_limit_s=1.0)
-    speaking = rig.endpoint(behave)
-    rig.ready()
-    rig.send()
-    rig.network.advance(0.1)
+    harness = Harness(time_limit_s=1.0)
+    speaking = harness.endpoint(behave)
+    harness.ready()
+    harness.send()
+    harness.network.advance(0.1)
     assert len(speaking.requests) == 1
     for _ in range(5):
-        assert rig.ask().status == 503
+        assert harness.ask().status == 503
     assert len(speaking.requests) == 1
 
 
 def test_feedback_to_an_abandoned_request_applies():
-    rig = Rig(attempts=1)
-    answers = [leaving_stream, well]
-    speaking = rig.endpoint(lambda endpoint, request: answers.pop(0)(endpoint, request))
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.1)
+    harness = Harness(attempts=1)
+    answers = [leaving_stream, answer_ok]
+    speaking = harness.endpoint(lambda endpoint, request: answers.pop(0)(endpoint, request))
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.1)
     caller.transport.abortConnection()
-    rig.network.advance(0.1)
-    assert rig.ask().status == 503
+    harness.network.advance(0.1)
+    assert harness.ask().status == 503
     assert len(speaking.requests) == 1
 
 
 @pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
 def test_request_waiting_for_a_connection_obeys_new_feedback(word):
-    rig = Rig()
-    speaking = rig.endpoint(well)
-    rig.ready()
-    record = rig.gateways[0].endpoints.get("e-1")
-    caller = rig.connect()
-    caller.transport.write(rig.request_bytes())
-    rig.network.advance_until(lambda: record.in_flight == 1)
+    harness = Harness()
+    speaking = harness.endpoint(answer_ok)
+    harness.ready()
+    record = harness.gateways[0].endpoints.get("e-1")
+    caller = harness.connect()
+    caller.transport.write(harness.request_bytes())
+    harness.network.advance_until(lambda: record.in_flight == 1)
     assert not speaking.requests
-    record.availability.apply_feedback(word, rig.network.clock.seconds())
-    rig.network.advance_until(lambda: answered(caller))
+    record.availability.apply_feedback(word, harness.network.clock.seconds())
+    harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 503
     assert not speaking.requests
-    failed = rig.logs[0].of("attempt.failed")[0]
+    failed = harness.logs[0].with_event("attempt.failed")[0]
     assert (failed["how"], failed["sent"]) == ("held", False)
     assert record.in_flight == 0
 
 
 @pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
 def test_broken_stream_resumes_on_an_available_endpoint(word):
-    rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
+    harness = Harness(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
     for _ in range(3):
-        rig.endpoint(stream(6, upto=2, then=lambda endpoint, request: None))
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.2)
-    (first,) = (endpoint for endpoint in rig.endpoints if endpoint.requests)
-    speaking, free = (endpoint for endpoint in rig.endpoints if endpoint is not first)
-    now_s = rig.network.clock.seconds()
-    rig.gateways[0].endpoints.get(speaking.endpoint_id).availability.apply_feedback(word, now_s)
-    free.behave = stream(6)
+        harness.endpoint(stream_events(6, up_to=2, then=lambda endpoint, request: None))
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.2)
+    (first,) = (endpoint for endpoint in harness.endpoints if endpoint.requests)
+    speaking, free = (endpoint for endpoint in harness.endpoints if endpoint is not first)
+    now_s = harness.network.clock.seconds()
+    harness.gateways[0].endpoints.get(speaking.endpoint_id).availability.apply_feedback(word, now_s)
+    free.behave = stream_events(6)
     first.requests[0].abort()
-    rig.network.advance_until(lambda: answered(caller))
-    assert dechunk(caller.body) == (events(1, 6), True)
+    harness.network.advance_until(lambda: answered(caller))
+    assert dechunk(caller.body) == (encode_events(1, 6), True)
     assert not speaking.requests
 
 
 def test_slow_upload_goes_to_an_available_endpoint():
-    rig = Rig()
-    speaking, other = rig.endpoint(leaving_error), rig.endpoint(well)
-    rig.ready()
-    slow = rig.connect()
-    whole = rig.request_bytes(method=b"POST", body=b"x" * 100)
+    harness = Harness()
+    speaking, other = harness.endpoint(leaving_error), harness.endpoint(answer_ok)
+    harness.ready()
+    slow = harness.connect()
+    whole = harness.request_bytes(method=b"POST", body=b"x" * 100)
     slow.transport.write(whole[:-50])
     while not speaking.requests:
-        rig.ask()
+        harness.ask()
     slow.transport.write(whole[-50:])
-    rig.network.advance_until(lambda: answered(slow))
+    harness.network.advance_until(lambda: answered(slow))
     assert slow.status == 200
     assert len(speaking.requests) == 1
     assert len(other.requests) >= 2
@@ -186,7 +186,7 @@
     play.ask_for(0.5)
     sends = sum(len(endpoint.sends) for endpoint in play.endpoints)
     began_s = play.now_s
-    refused = play.rig.ask()
+    refused = play.harness.ask()
     assert play.now_s - began_s < 0.05
     assert refused.status == 503
     assert reason(refused) == "endpoints_resting"
@@ -195,8 +195,8 @@
     assert sum(len(endpoint.sends) for endpoint in play.endpoints) == sends
     for endpoint in play.endpoints:
         endpoint.rest_s = 0.0
-    play.rig.network.advance(float(refused.header(b"retry-after")))
-    assert play.rig.ask().status == 200
+    play.harness.network.advance(float(refused.header(b"retry-after")))
+    assert play.harness.ask().status == 200
 
 
 def test_log_lines_name_the_feedback_and_its_request():
@@ -204,7 +204,7 @@
     play.endpoints[0].draining = True
     play.endpoints[1].rest_s = 2.0
     play.ask_for(1.0)
-    said = {line["endpoint"]: line for line in play.rig.logs[0].of("endpoint.said")}
+    said = {line["endpoint"]: line for line in play.harness.logs[0].with_event("endpoint.said")}
     assert said["e-1"]["hold"] == "leaves"
     assert said["e-1"]["request"].startswith("id-")
     assert said["e-2"]["hold"] == "rests"
@@ -217,7 +217,7 @@
     for per_s in (40.0, 20.0):
         named.limit_per_s = per_s
         play.ask_for(2.0, pause_s=0.02)
-    lines = play.rig.logs[0].of("endpoint.limited")
+    lines = play.harness.logs[0].with_event("endpoint.limited")
     assert [line["limit_per_s"] for line in lines] == [40.0, 20.0]
     assert {line["endpoint"] for line in lines} == {named.endpoint.endpoint_id}
     assert lines[0]["request"].startswith("id-")
@@ -231,7 +231,7 @@
     # A router tries it after 0.25, 0.5, 1 and each 2 s more, a fifth sooner at the most.
     assert len(busy.sends) <= 2 * 7
     busy.sheds = False
-    play.rig.network.advance(2.5)
+    play.harness.network.advance(2.5)
     before = len(busy.sends)
     play.ask_for(2.0, pause_s=0.02)
     assert len(busy.sends) - before >= 10
@@ -246,7 +246,7 @@
     assert set(play.statuses()) == {503}
     for endpoint in play.endpoints:
         endpoint.sheds = False
-    assert play.rig.ask().status == 200
+    assert play.harness.ask().status == 200
 
 
 class Troubled:
@@ -276,11 +276,11 @@
         return self.play.endpoints
 
     def _trouble_routers(self):
-        rig = self.play.rig
+        harness = self.play.harness
         kind = self.draw.choice(("frozen", "apart", "restarted", "store"))
-        before = list(rig.gateways)
+        before = list(harness.gateways)
         self.ending = trouble(self.play, self.draw, kind)
-        for machine, old, new in zip(rig.machines, before, rig.gateways, strict=True):
+        for machine, old, new in zip(harness.machines, before, harness.gateways, strict=True):
             if old is not new:
                 self.play.note_restart(machine.host)
 
@@ -289,7 +289,7 @@
         one = self.draw.choice(working)
         kinds = ("leave", "leave", "rest", "rest", "shed", "entry", "gone", "back")
         what = self.draw.choice(kinds)
-        rows = self.play.rig.rows
+        rows = self.play.harness.rows
         if what == "leave" and len(working) > 4:
             one.draining = True
             self.play.add_endpoint()
@@ -301,7 +301,7 @@
             rows.remove("endpoints", one.endpoint.endpoint_id)
         elif what in ("entry", "back"):
             for known in self.play.endpoints if what == "back" else [one]:
-                self.play.rig.announce(known.endpoint, zone="z", slots=4 + turn)
+                self.play.harness.announce(known.endpoint, zone="z", slots=4 + turn)
 
 
 @pytest.mark.parametrize("size", [3, 7, 14])
@@ -371,7 +371,7 @@
     speaking = play.endpoints[0]
     speaking.draining = True
     for change in range(8):
-        play.rig.announce(speaking.endpoint, zone="z", slots=5 + change)
+        play.harness.announce(speaking.endpoint, zone="z", slots=5 + change)
         play.ask_for(0.5, pause_s=0.05)
     return speaking
 
@@ -383,6 +383,6 @@
         endpoint.rest_s = 3.0
     for change in range(8):
         for endpoint in play.endpoints:
-            play.rig.announce(endpoint.endpoint, zone="z", slots=5 + change)
+            play.harness.announce(endpoint.endpoint, zone="z", slots=5 + change)
         play.ask_for(0.5, pause_s=0.05)
     return max(endpoint.most_in_a_rest() for endpoint in play.endpoints)
--- a/turnward/gateway/tests/test_feeds.py
+++ b/turnward/gateway/tests/test_feeds.py
@@ -62,7 +62,7 @@
     is_told = True
 
 
-class Rig:
+class Harness:
     """A feed on a fake clock."""
 
     def __init__(self):
@@ -107,56 +107,56 @@
     away_s, tells_others, question
 ):
     """It is 0.6 MB even if nothing changed: 603 KB at each of 40 routers, now at six of them."""
-    rig = Rig().start()
-    rig.overlay.tells_others = tells_others
-    rig.store.away = True
-    rig.run(away_s)
-    rig.store.answered.clear()
-    rig.store.away = False
-    rig.run(2.0)
-    assert rig.store.answered[0] == question
+    harness = Harness().start()
+    harness.overlay.tells_others = tells_others
+    harness.store.away = True
+    harness.run(away_s)
+    harness.store.answered.clear()
+    harness.store.away = False
+    harness.run(2.0)
+    assert harness.store.answered[0] == question
 
 
 def test_after_a_long_outage_a_feed_goes_on_from_what_others_told():
-    rig = Rig().start()
-    rig.overlay.tells_others = True
-    rig.store.away = True
-    rig.run(8.0)
-    rig.listener.known = 9
-    rig.store.version = 9
-    rig.run(2.0)
-    rig.store.answered.clear()
-    rig.store.away = False
-    rig.run(2.0)
-    assert set(rig.store.answered) == {9}
+    harness = Harness().start()
+    harness.overlay.tells_others = True
+    harness.store.away = True
+    harness.run(8.0)
+    harness.listener.known = 9
+    harness.store.version = 9
+    harness.run(2.0)
+    harness.store.answered.clear()
+    harness.store.away = False
+    harness.run(2.0)
+    assert set(harness.store.answered) == {9}
 
 
 def test_a_feed_asks_nothing_while_others_confirm_what_is_known():
-    rig = Rig().start().confirmed_by_others()
+    harness = Harness().start().confirmed_by_others()
     for _ in range(20):
-        rig.state.confirm()
-        rig.run(0.5)
-    assert not rig.store.asked
-    rig.run(3.0)
-    assert rig.store.asked
+        harness.state.confirm()
+        harness.run(0.5)
+    assert not harness.store.asked
+    harness.run(3.0)
+    assert harness.store.asked
 
 
 def test_a_feed_asks_when_its_router_becomes_one_that_others_learn_from():
-    rig = Rig().start().confirmed_by_others()
-    rig.overlay.tells_others = True
-    rig.run(0.5)
-    assert rig.store.asked
+    harness = Harness().start().confirmed_by_others()
+    harness.overlay.tells_others = True
+    harness.run(0.5)
+    assert harness.store.asked
 
 
 def test_a_feed_asks_when_nobody_tells_its_router_anything():
-    rig = Rig().start().confirmed_by_others()
-    rig.overlay.is_told = False
-    rig.run(0.5)
-    assert rig.store.asked
+    harness = Harness().start().confirmed_by_others()
+    harness.overlay.is_told = False
+    harness.run(0.5)
+    assert harness.store.asked
 
 
 def test_a_feed_stops_while_it_asks_nothing():
-    rig = Rig().start().confirmed_by_others()
-    rig.feed.stop()
-    rig.run(5.0)
-    assert not rig.store.asked
+    harness = Harness().start().confirmed_by_others()
+    harness.feed.stop()
+    harness.run(5.0)
+    assert not harness.store.asked
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -5,20 +5,20 @@
 import pytest
 
 from turnward.gateway import Repeat
-from turnward.gateway.tests.rig import (
+from turnward.gateway.tests.harness import (
     DIALECT,
     ENGINE_POOL,
-    Rig,
+    Harness,
+    abort_connection,
     answer_head,
+    answer_not_run,
+    answer_ok,
     answered,
     dechunk,
-    events,
-    full,
-    raw,
-    reset,
-    silent,
-    stream,
-    well,
+    encode_events,
+    never_answer,
+    raw_answer,
+    stream_events,
 )
 from turnward.http1 import header_value
 
@@ -28,10 +28,10 @@
 
 
 def test_request_and_answer_pass_unchanged():
-    rig = Rig()
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    caller = rig.ask(
+    harness = Harness()
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    caller = harness.ask(
         method=b"POST",
         path=b"/a/b%20c?x=1&y=%2f",
         body=b"\x00\xffdata",
@@ -50,11 +50,11 @@
 
 
 def test_deadline_is_what_is_left_of_the_shorter_limit():
-    rig = Rig(time_limit_s=2.0)
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    rig.ask(headers=((b"Deadline-Ms", b"9000"),))
-    rig.ask(headers=((b"Deadline-Ms", b"500"),))
+    harness = Harness(time_limit_s=2.0)
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    harness.ask(headers=((b"Deadline-Ms", b"9000"),))
+    harness.ask(headers=((b"Deadline-Ms", b"500"),))
     left = [
         int(header_value(request.headers, DIALECT.deadline_ms)) for request in endpoint.requests
     ]
@@ -63,159 +63,164 @@
 
 
 def test_unknown_route_and_key_are_refused_while_the_configuration_is_confirmed():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    assert rig.ask(path=b"/other/").status == 404
-    assert rig.ask(key=b"nobody").status == 401
-    assert rig.ask(key=None).status == 401
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    assert harness.ask(path=b"/other/").status == 404
+    assert harness.ask(key=b"nobody").status == 401
+    assert harness.ask(key=None).status == 401
 
 
 def test_unknown_route_and_key_are_not_the_callers_fault_while_cut_off():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    rig.clients[0].faults.away = True
-    rig.network.advance(8.0)
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    harness.clients[0].faults.away = True
+    harness.network.advance(8.0)
     for fields in ({"path": b"/other/"}, {"key": b"nobody"}):
-        caller = rig.ask(**fields)
+        caller = harness.ask(**fields)
         assert (caller.status, reason(caller)) == (503, "configuration_not_confirmed")
         assert float(caller.header(b"retry-after")) > 0
-    assert rig.ask().status == 200
+    assert harness.ask().status == 200
 
 
 def test_process_without_configuration_is_not_ready_and_promises_not_run():
-    rig = Rig()
-    rig.gateway()
-    rig.network.advance(1.0)
-    caller = rig.ask()
+    harness = Harness()
+    harness.gateway()
+    harness.network.advance(1.0)
+    caller = harness.ask()
     assert caller.status == 503
-    assert not rig.gateways[0].ready
+    assert not harness.gateways[0].ready
 
 
 @pytest.mark.parametrize("repeat", [Repeat.ANY, Repeat.ONCE, Repeat.STREAM])
 def test_refusal_of_a_full_endpoint_is_passed_on_as_a_promise(repeat):
-    rig = Rig(repeat=repeat, attempts=1)
-    rig.endpoint(full)
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"x")
+    harness = Harness(repeat=repeat, attempts=1)
+    harness.endpoint(answer_not_run)
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"x")
     assert (caller.status, reason(caller)) == (503, "endpoints_full")
     assert float(caller.header(b"retry-after")) > 0
     assert caller.header(b"answer-seal") is None
 
 
 def test_refused_request_goes_to_another_endpoint():
-    rig = Rig(repeat=Repeat.ONCE, attempts=2)
+    harness = Harness(repeat=Repeat.ONCE, attempts=2)
     for _ in range(2):
-        rig.endpoint(full)
-    rig.endpoint(well)
-    rig.ready()
-    answers = [rig.ask(method=b"POST", body=b"x").status for _ in range(12)]
+        harness.endpoint(answer_not_run)
+    harness.endpoint(answer_ok)
+    harness.ready()
+    answers = [harness.ask(method=b"POST", body=b"x").status for _ in range(12)]
     assert set(answers) <= {200, 503}
-    assert all(len(endpoint.ids()) == len(set(endpoint.ids())) for endpoint in rig.endpoints)
+    assert all(len(endpoint.ids()) == len(set(endpoint.ids())) for endpoint in harness.endpoints)
 
 
-@pytest.mark.parametrize("behave", [reset, raw(b"nonsense\r\n\r\n"), raw(b"HTTP/1.1 200 OK\r\n")])
+@pytest.mark.parametrize(
+    "behave",
+    [abort_connection, raw_answer(b"nonsense\r\n\r\n"), raw_answer(b"HTTP/1.1 200 OK\r\n")],
+)
 def test_request_that_must_not_run_twice_is_sent_once_and_its_end_is_unknown(behave):
-    rig = Rig(repeat=Repeat.ONCE, attempts=3, time_limit_s=1.0)
+    harness = Harness(repeat=Repeat.ONCE, attempts=3, time_limit_s=1.0)
     for _ in range(3):
-        rig.endpoint(behave)
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"x")
+        harness.endpoint(behave)
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"x")
     assert caller.status in (502, 504)
-    assert sum(len(endpoint.requests) for endpoint in rig.endpoints) == 1
+    assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 1
 
 
-@pytest.mark.parametrize("behave", [reset, raw(b"nonsense\r\n\r\n")])
+@pytest.mark.parametrize("behave", [abort_connection, raw_answer(b"nonsense\r\n\r\n")])
 def test_repeatable_request_is_sent_to_another_endpoint(behave):
-    rig = Rig(repeat=Repeat.ANY, attempts=2)
-    rig.endpoint(behave)
-    rig.endpoint(well)
-    rig.ready()
-    assert [rig.ask().status for _ in range(6)] == [200] * 6
+    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness.endpoint(behave)
+    harness.endpoint(answer_ok)
+    harness.ready()
+    assert [harness.ask().status for _ in range(6)] == [200] * 6
 
 
 def test_no_repeat_is_used_up_where_no_other_endpoint_is_there():
-    rig = Rig(repeat=Repeat.ANY, attempts=3)
-    rig.endpoint(reset)
-    rig.ready()
-    assert rig.ask().status == 502
-    assert rig.logs[0].of("attempt.not_repeated")[0]["why"] == "no_other_endpoint"
-    assert not rig.gateways[0].forwarder.allowance("pool")._repeats
+    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness.endpoint(abort_connection)
+    harness.ready()
+    assert harness.ask().status == 502
+    assert harness.logs[0].with_event("attempt.not_repeated")[0]["why"] == "no_other_endpoint"
+    assert not harness.gateways[0].forwarder.retry_budget("pool")._repeats
 
 
 def test_error_of_the_only_endpoint_is_passed_on_as_it_is():
     def fail(endpoint, request):
         request.answer(500, answer_head(request), b"own words")
 
-    rig = Rig(repeat=Repeat.ANY, attempts=3)
-    rig.endpoint(fail)
-    rig.ready()
-    caller = rig.ask()
+    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness.endpoint(fail)
+    harness.ready()
+    caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"own words")
 
 
 def test_attempts_bound_the_endpoints_of_a_request():
-    rig = Rig(repeat=Repeat.ANY, attempts=2)
+    harness = Harness(repeat=Repeat.ANY, attempts=2)
     for _ in range(4):
-        rig.endpoint(reset)
-    rig.ready()
-    assert rig.ask().status == 502
-    assert sum(len(endpoint.requests) for endpoint in rig.endpoints) == 2
+        harness.endpoint(abort_connection)
+    harness.ready()
+    assert harness.ask().status == 502
+    assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 2
 
 
 def test_dead_endpoints_are_passed_over_without_a_send():
-    rig = Rig(repeat=Repeat.ONCE, attempts=1)
-    dead = [rig.endpoint(well) for _ in range(2)]
-    rig.endpoint(well)
-    rig.ready()
+    harness = Harness(repeat=Repeat.ONCE, attempts=1)
+    dead = [harness.endpoint(answer_ok) for _ in range(2)]
+    harness.endpoint(answer_ok)
+    harness.ready()
     for endpoint in dead:
         endpoint.machine.kill()
-    assert [rig.ask(method=b"POST", body=b"x").status for _ in range(5)] == [200] * 5
+    assert [harness.ask(method=b"POST", body=b"x").status for _ in range(5)] == [200] * 5
 
 
 def test_error_of_an_endpoint_is_tried_elsewhere_and_passed_on_in_the_end():
     def fails(endpoint, request):
         request.answer(500, answer_head(request, endpoint.endpoint_id.encode()), b"broken")
 
-    rig = Rig(repeat=Repeat.ANY, attempts=2)
-    rig.endpoint(fails)
-    rig.endpoint(fails)
-    rig.ready()
-    caller = rig.ask()
+    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness.endpoint(fails)
+    harness.endpoint(fails)
+    harness.ready()
+    caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"broken")
-    assert sorted(len(endpoint.requests) for endpoint in rig.endpoints) == [1, 1]
+    assert sorted(len(endpoint.requests) for endpoint in harness.endpoints) == [1, 1]
 
 
 def test_answer_without_a_seal_is_not_passed_on():
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(raw(b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nContent-Length: 2\r\n\r\nno"))
-    rig.ready()
-    assert rig.ask(method=b"POST", body=b"").status == 502
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(
+        raw_answer(b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nContent-Length: 2\r\n\r\nno")
+    )
+    harness.ready()
+    assert harness.ask(method=b"POST", body=b"").status == 502
 
 
 def test_status_that_promises_not_run_is_not_passed_on_for_a_request_that_may_have_run():
     def busy(endpoint, request):
         request.answer(503, answer_head(request), b"later")
 
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(busy)
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"")
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(busy)
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"")
     assert caller.status == 502
     assert caller.header(b"answer-seal") is None
 
 
 def test_answer_with_an_encoding_nobody_asked_for_is_not_passed_on():
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(
-        raw(
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(
+        raw_answer(
             b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nAnswer-Seal: s\r\n"
             b"Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno"
         )
     )
-    rig.ready()
-    assert rig.ask(method=b"POST", body=b"").status == 502
+    harness.ready()
+    assert harness.ask(method=b"POST", body=b"").status == 502
 
 
 GOOD = b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nAnswer-Seal: s\r\nContent-Length: 4\r\n\r\ngood"
@@ -223,34 +228,34 @@
 
 
 def test_late_answer_to_an_earlier_request_is_skipped():
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(raw(OTHER + GOOD))
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"")
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(raw_answer(OTHER + GOOD))
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"")
     assert (caller.status, caller.body) == (200, b"good")
 
 
 def test_extra_answer_ends_the_connection_it_came_on():
-    rig = Rig(repeat=Repeat.ONCE)
-    endpoint = rig.endpoint(raw(GOOD + GOOD.replace(b"good", b"evil")))
-    rig.ready()
+    harness = Harness(repeat=Repeat.ONCE)
+    endpoint = harness.endpoint(raw_answer(GOOD + GOOD.replace(b"good", b"evil")))
+    harness.ready()
     for _ in range(4):
-        assert rig.ask(method=b"POST", body=b"").body == b"good"
+        assert harness.ask(method=b"POST", body=b"").body == b"good"
     assert len({id(request._connection) for request in endpoint.requests}) == 4
 
 
 def test_extra_answer_that_comes_later_ends_the_connection():
     def behave(endpoint, request):
-        raw(GOOD)(endpoint, request)
-        endpoint.machine.callLater(0.1, raw(OTHER), endpoint, request)
+        raw_answer(GOOD)(endpoint, request)
+        endpoint.machine.callLater(0.1, raw_answer(OTHER), endpoint, request)
 
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(behave)
-    rig.ready()
-    assert rig.ask(method=b"POST", body=b"").body == b"good"
-    rig.network.advance(0.2)
-    rig.endpoints[0].behave = raw(GOOD)
-    assert rig.ask(method=b"POST", body=b"").body == b"good"
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(behave)
+    harness.ready()
+    assert harness.ask(method=b"POST", body=b"").body == b"good"
+    harness.network.advance(0.2)
+    harness.endpoints[0].behave = raw_answer(GOOD)
+    assert harness.ask(method=b"POST", body=b"").body == b"good"
 
 
 def test_plain_answer_cut_short_is_never_continued_from_another_endpoint():
@@ -259,12 +264,12 @@
         request.write(b"half")
         endpoint.machine.callLater(0.05, request.abort)
 
-    rig = Rig(repeat=Repeat.ANY, attempts=2)
-    rig.endpoint(cut)
-    rig.endpoint(lambda endpoint, request: well(endpoint, request, b"whole"))
-    rig.ready()
+    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness.endpoint(cut)
+    harness.endpoint(lambda endpoint, request: answer_ok(endpoint, request, b"whole"))
+    harness.ready()
     for _ in range(6):
-        caller = rig.ask()
+        caller = harness.ask()
         assert caller.status == 200
         assert caller.header(b"answer-seal") == b"seal"
         body = dechunk(caller.body)[0] if caller.header(b"transfer-encoding") else caller.body
@@ -277,13 +282,13 @@
 @pytest.mark.parametrize("how", ["loseConnection", "abortConnection"])
 def test_answer_without_length_is_whole_only_when_its_connection_ends_well(how):
     def behave(endpoint, request):
-        raw(UNFRAMED)(endpoint, request)
+        raw_answer(UNFRAMED)(endpoint, request)
         endpoint.machine.callLater(0.05, getattr(request._connection.transport, how))
 
-    rig = Rig(repeat=Repeat.ONCE)
-    rig.endpoint(behave)
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"")
+    harness = Harness(repeat=Repeat.ONCE)
+    harness.endpoint(behave)
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"")
     if how == "loseConnection":
         assert (caller.status, caller.body) == (200, b"to the end")
     else:
@@ -291,40 +296,40 @@
 
 
 def test_caller_that_leaves_frees_the_endpoint_at_once():
-    rig = Rig()
-    endpoint = rig.endpoint(silent)
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.1)
+    harness = Harness()
+    endpoint = harness.endpoint(never_answer)
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.1)
     caller.transport.loseConnection()
-    rig.network.advance(0.05)
+    harness.network.advance(0.05)
     assert len(endpoint.gone) == 1
-    assert not rig.gateways[0].forwarder.open
+    assert not harness.gateways[0].forwarder.open_requests
 
 
 def test_time_limit_is_answered_in_time():
-    rig = Rig(time_limit_s=1.0)
-    rig.endpoint(silent)
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.95)
+    harness = Harness(time_limit_s=1.0)
+    harness.endpoint(never_answer)
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.95)
     assert caller.status is None
-    rig.network.advance(0.15)
+    harness.network.advance(0.15)
     assert (caller.status, reason(caller)) == (504, "time_limit")
 
 
 def test_pipelined_requests_are_answered_in_order_with_their_own_answers():
     def echo(endpoint, request):
         delay_s = 0.2 if request.target.endswith(b"slow") else 0.0
-        endpoint.machine.callLater(delay_s, well, endpoint, request, request.target)
+        endpoint.machine.callLater(delay_s, answer_ok, endpoint, request, request.target)
 
-    rig = Rig()
-    rig.endpoint(echo)
-    rig.ready()
-    caller = rig.connect()
+    harness = Harness()
+    harness.endpoint(echo)
+    harness.ready()
+    caller = harness.connect()
     paths = [b"/a/slow", b"/a/quick", b"/a/last"]
-    caller.transport.write(b"".join(rig.request_bytes(path=path) for path in paths))
-    rig.network.advance(1.0)
+    caller.transport.write(b"".join(harness.request_bytes(path=path) for path in paths))
+    harness.network.advance(1.0)
     found = [caller.received.index(path) for path in paths]
     assert found == sorted(found)
     assert caller.received.count(b"200 OK") == 3
@@ -344,37 +349,37 @@
     ],
 )
 def test_malformed_requests_are_refused_and_reach_no_endpoint(bad):
-    rig = Rig()
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    caller = rig.connect()
+    harness = Harness()
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    caller = harness.connect()
     caller.transport.write(bad)
-    rig.network.advance(7.0)
+    harness.network.advance(7.0)
     assert caller.status in (400, 408)
     assert caller.closed is not None
     assert endpoint.requests == []
-    assert rig.ask().status == 200
+    assert harness.ask().status == 200
 
 
 @pytest.mark.parametrize("header", [b"Request-Id", b"Host"])
 def test_doubled_identity_headers_are_refused(header):
-    rig = Rig()
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    assert rig.ask(headers=((header, b"second"),)).status == 400
+    harness = Harness()
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    assert harness.ask(headers=((header, b"second"),)).status == 400
     assert endpoint.requests == []
 
 
 def test_body_in_chunks_arrives_whole():
-    rig = Rig()
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    caller = rig.connect()
-    head = rig.request_bytes(method=b"POST", headers=((b"Transfer-Encoding", b"chunked"),))
+    harness = Harness()
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    caller = harness.connect()
+    head = harness.request_bytes(method=b"POST", headers=((b"Transfer-Encoding", b"chunked"),))
     caller.transport.write(head + b"3\r\nabc\r\n")
-    rig.network.advance(0.1)
+    harness.network.advance(0.1)
     caller.transport.write(b"2\r\nde\r\n0\r\n\r\n")
-    rig.network.advance(0.1)
+    harness.network.advance(0.1)
     assert caller.status == 200
     assert endpoint.bodies == [b"abcde"]
 
@@ -383,31 +388,31 @@
     def reads_nothing(endpoint, request):
         request.pause_body()
 
-    rig = Rig(repeat=Repeat.ONCE, time_limit_s=60.0)
-    endpoint = rig.endpoint(reads_nothing)
-    endpoint.early = True
-    rig.ready()
-    caller = rig.connect()
+    harness = Harness(repeat=Repeat.ONCE, time_limit_s=60.0)
+    endpoint = harness.endpoint(reads_nothing)
+    endpoint.answers_early = True
+    harness.ready()
+    caller = harness.connect()
     size = 4_000_000
-    head = rig.request_bytes(method=b"POST", headers=((b"Content-Length", b"%d" % size),))
+    head = harness.request_bytes(method=b"POST", headers=((b"Content-Length", b"%d" % size),))
     caller.transport.write(head)
     for _ in range(size // 10_000):
         if caller.transport._under_way < 300_000:
             caller.transport.write(b"b" * 10_000)
-            rig.network.advance(0.005)
+            harness.network.advance(0.005)
     held = caller.transport._under_way
     assert held > 100_000
     endpoint.requests[0].attach(lambda data: None, lambda: None)
-    rig.network.advance(0.5)
+    harness.network.advance(0.5)
     assert caller.transport._under_way < held
 
 
 def test_slow_reader_holds_the_endpoint_back():
-    rig = Rig(repeat=Repeat.STREAM, time_limit_s=60.0)
-    endpoint = rig.endpoint(silent)
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.1)
+    harness = Harness(repeat=Repeat.STREAM, time_limit_s=60.0)
+    endpoint = harness.endpoint(never_answer)
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.1)
     caller.transport.pauseProducing()
     request = endpoint.requests[0]
     request.start(200, answer_head(request), None)
@@ -415,12 +420,12 @@
     request.on_pause = lambda: paused.append(True)
     for turn in range(60):
         if not paused:
-            request.write(events(100 * turn + 1, 100 * turn + 100, 100))
-            rig.network.advance(0.01)
+            request.write(encode_events(100 * turn + 1, 100 * turn + 100, 100))
+            harness.network.advance(0.01)
     assert paused
     caller.transport.resumeProducing()
     request.on_resume = paused.clear
-    rig.network.advance(0.2)
+    harness.network.advance(0.2)
     assert not paused
 
 
@@ -428,90 +433,98 @@
 
 
 def streaming(resumable, attempts=3):
-    return Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=resumable, attempts=attempts)
+    return Harness(
+        pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=resumable, attempts=attempts
+    )
 
 
 def test_events_pass_as_they_come():
     def slowly(endpoint, request):
         request.start(200, answer_head(request), None)
-        request.write(events(1, 1))
-        endpoint.machine.callLater(1.0, request.write, events(2, 2))
+        request.write(encode_events(1, 1))
+        endpoint.machine.callLater(1.0, request.write, encode_events(2, 2))
         endpoint.machine.callLater(1.1, request.finish)
 
-    rig = streaming(resumable=True)
-    rig.endpoint(slowly)
-    rig.ready()
-    caller = rig.send(method=b"POST", body=b"p")
-    rig.network.advance(0.5)
-    assert dechunk(caller.body) == (events(1, 1), False)
-    rig.network.advance(1.0)
-    assert dechunk(caller.body) == (events(1, 2), True)
+    harness = streaming(resumable=True)
+    harness.endpoint(slowly)
+    harness.ready()
+    caller = harness.send(method=b"POST", body=b"p")
+    harness.network.advance(0.5)
+    assert dechunk(caller.body) == (encode_events(1, 1), False)
+    harness.network.advance(1.0)
+    assert dechunk(caller.body) == (encode_events(1, 2), True)
 
 
 def test_broken_stream_goes_on_at_another_endpoint_where_it_may():
-    rig = streaming(resumable=True)
-    broken = rig.endpoint(stream(9, upto=4, then=lambda e, r: e.machine.callLater(0.1, r.abort)))
-    rig.endpoint(stream(9))
-    rig.ready()
+    harness = streaming(resumable=True)
+    broken = harness.endpoint(
+        stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
+    )
+    harness.endpoint(stream_events(9))
+    harness.ready()
     for _ in range(4):
-        caller = rig.ask(method=b"POST", body=b"p")
-        assert dechunk(caller.body) == (events(1, 9), True)
+        caller = harness.ask(method=b"POST", body=b"p")
+        assert dechunk(caller.body) == (encode_events(1, 9), True)
     assert broken.requests
 
 
 def test_half_an_event_is_never_joined_with_another_run():
     def cut_inside(endpoint, request):
         request.start(200, answer_head(request), None)
-        request.write(events(1, 3)[:-4])
+        request.write(encode_events(1, 3)[:-4])
         endpoint.machine.callLater(0.05, request.abort)
 
-    rig = streaming(resumable=True)
-    rig.endpoint(cut_inside)
-    rig.endpoint(stream(5))
-    rig.ready()
+    harness = streaming(resumable=True)
+    harness.endpoint(cut_inside)
+    harness.endpoint(stream_events(5))
+    harness.ready()
     for _ in range(4):
-        assert dechunk(rig.ask(method=b"POST", body=b"p").body) == (events(1, 5), True)
+        assert dechunk(harness.ask(method=b"POST", body=b"p").body) == (encode_events(1, 5), True)
 
 
 def test_stream_that_may_not_be_resumed_is_cut_and_does_not_look_complete():
-    rig = streaming(resumable=False)
+    harness = streaming(resumable=False)
     for _ in range(2):
-        rig.endpoint(stream(9, upto=4, then=lambda e, r: e.machine.callLater(0.1, r.abort)))
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"p")
+        harness.endpoint(
+            stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
+        )
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
-    assert dechunk(caller.body) == (events(1, 4), False)
-    assert sum(len(endpoint.requests) for endpoint in rig.endpoints) == 1
+    assert dechunk(caller.body) == (encode_events(1, 4), False)
+    assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 1
 
 
 def test_resumed_stream_that_starts_over_is_not_joined():
     def restarts(endpoint, request):
         request.start(200, answer_head(request), None)
-        request.write(events(1, 9))
+        request.write(encode_events(1, 9))
         request.finish()
 
-    rig = streaming(resumable=True, attempts=2)
-    first = rig.endpoint(stream(9, upto=4, then=lambda e, r: e.machine.callLater(0.5, r.abort)))
-    rig.ready()
-    caller = rig.send(method=b"POST", body=b"p")
-    rig.network.advance_until(lambda: first.requests)
-    rig.endpoint(restarts)
-    rig.network.advance_until(lambda: answered(caller))
+    harness = streaming(resumable=True, attempts=2)
+    first = harness.endpoint(
+        stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.5, r.abort))
+    )
+    harness.ready()
+    caller = harness.send(method=b"POST", body=b"p")
+    harness.network.advance_until(lambda: first.requests)
+    harness.endpoint(restarts)
+    harness.network.advance_until(lambda: answered(caller))
     body, complete = dechunk(caller.body)
-    assert body == events(1, 4)
+    assert body == encode_events(1, 4)
     assert not complete
 
 
 def test_stream_that_ends_inside_an_event_does_not_look_complete():
     def ends_early(endpoint, request):
         request.start(200, answer_head(request), None)
-        request.write(events(1, 3)[:-4])
+        request.write(encode_events(1, 3)[:-4])
         request.finish()
 
-    rig = streaming(resumable=False)
-    rig.endpoint(ends_early)
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"p")
+    harness = streaming(resumable=False)
+    harness.endpoint(ends_early)
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
     assert not dechunk(caller.body)[1]
 
@@ -520,23 +533,23 @@
 
 
 def test_leaving_endpoint_gets_no_new_work():
-    rig = Rig()
-    leaving = rig.endpoint(well)
-    rig.endpoint(well)
-    rig.ready()
-    rig.announce(leaving, leaving=True)
-    rig.network.advance(0.1)
+    harness = Harness()
+    leaving = harness.endpoint(answer_ok)
+    harness.endpoint(answer_ok)
+    harness.ready()
+    harness.announce(leaving, leaving=True)
+    harness.network.advance(0.1)
     before = len(leaving.requests)
-    assert [rig.ask().status for _ in range(6)] == [200] * 6
+    assert [harness.ask().status for _ in range(6)] == [200] * 6
     assert len(leaving.requests) == before
 
 
 def test_address_that_now_is_another_endpoints_runs_nothing():
-    rig = Rig(repeat=Repeat.ONCE, attempts=1)
-    endpoint = rig.endpoint(well)
-    rig.ready()
+    harness = Harness(repeat=Repeat.ONCE, attempts=1)
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
     endpoint.endpoint_id = "e-new"
-    caller = rig.ask(method=b"POST", body=b"")
+    caller = harness.ask(method=b"POST", body=b"")
     assert (caller.status, reason(caller)) == (503, "no_endpoint")
 
 
@@ -544,149 +557,149 @@
 
 
 def test_configuration_is_in_force_at_once_and_never_goes_back():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    old = rig.configuration
-    rig.configure(routes=(rig.route(path_prefix="/b/"),))
-    rig.network.advance(0.1)
-    assert (rig.ask(path=b"/a/x").status, rig.ask(path=b"/b/x").status) == (404, 200)
-    rig.rows.put("configuration", "all", msgspec.json.encode(old))
-    rig.network.advance(0.5)
-    assert rig.ask(path=b"/b/x").status == 200
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    old = harness.configuration
+    harness.configure(routes=(harness.route(path_prefix="/b/"),))
+    harness.network.advance(0.1)
+    assert (harness.ask(path=b"/a/x").status, harness.ask(path=b"/b/x").status) == (404, 200)
+    harness.rows.put("configuration", "all", msgspec.json.encode(old))
+    harness.network.advance(0.5)
+    assert harness.ask(path=b"/b/x").status == 200
 
 
 def test_key_taken_away_is_refused_at_a_gateway_that_the_store_turns_away():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready(gateways=2)
-    rig.network.advance(1.0)
-    rig.clients[1].faults.away = True
-    rig.network.advance(1.0)
-    workspace = msgspec.structs.replace(rig.configuration.workspaces[0], keys=("other",))
-    rig.configure(workspaces=(workspace,))
-    rig.network.advance(1.5)
-    assert rig.ask(gateway=1).status == 401
-    assert rig.ask(gateway=1, key=b"other").status == 200
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready(gateways=2)
+    harness.network.advance(1.0)
+    harness.clients[1].faults.away = True
+    harness.network.advance(1.0)
+    workspace = msgspec.structs.replace(harness.configuration.workspaces[0], keys=("other",))
+    harness.configure(workspaces=(workspace,))
+    harness.network.advance(1.5)
+    assert harness.ask(gateway=1).status == 401
+    assert harness.ask(gateway=1, key=b"other").status == 200
 
 
 def test_forgotten_history_is_read_anew():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    rig.clients[0].faults.away = True
-    rig.network.advance(0.5)
-    rig.configure(routes=(rig.route(path_prefix="/b/"),))
-    rig.rows.forget_history()
-    rig.clients[0].faults.away = False
-    rig.network.advance(3.0)
-    assert rig.ask(path=b"/b/x").status == 200
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    harness.clients[0].faults.away = True
+    harness.network.advance(0.5)
+    harness.configure(routes=(harness.route(path_prefix="/b/"),))
+    harness.rows.forget_history()
+    harness.clients[0].faults.away = False
+    harness.network.advance(3.0)
+    assert harness.ask(path=b"/b/x").status == 200
 
 
 # Planned stop.
 
 
 def test_planned_stop_serves_what_is_open_and_cuts_nothing():
-    rig = Rig(repeat=Repeat.ONCE, time_limit_s=20.0)
-    rig.endpoint(lambda e, r: e.machine.callLater(2.0, well, e, r))
-    rig.ready()
-    idle = rig.connect()
-    running = rig.send(method=b"POST", body=b"")
-    rig.network.advance(0.2)
+    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
+    harness.endpoint(lambda e, r: e.machine.callLater(2.0, answer_ok, e, r))
+    harness.ready()
+    idle = harness.connect()
+    running = harness.send(method=b"POST", body=b"")
+    harness.network.advance(0.2)
     stopped = []
-    rig.gateways[0].stopped.addCallback(stopped.append)
-    rig.gateways[0].stop()
-    assert not rig.gateways[0].ready
-    rig.network.advance(0.5)
-    idle.transport.write(rig.request_bytes(method=b"POST", body=b""))
-    rig.network.advance(2.6)
+    harness.gateways[0].stopped.addCallback(stopped.append)
+    harness.gateways[0].stop()
+    assert not harness.gateways[0].ready
+    harness.network.advance(0.5)
+    idle.transport.write(harness.request_bytes(method=b"POST", body=b""))
+    harness.network.advance(2.6)
     assert (running.status, idle.status) == (200, 200)
     assert idle.header(b"connection") == b"close"
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     assert stopped
 
 
 def test_planned_stop_ends_by_its_limit():
-    rig = Rig(time_limit_s=60.0)
-    rig.endpoint(silent)
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.2)
+    harness = Harness(time_limit_s=60.0)
+    harness.endpoint(never_answer)
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.2)
     stopped = []
-    rig.gateways[0].stopped.addCallback(stopped.append)
-    rig.gateways[0].stop()
-    rig.network.advance(7.9)
+    harness.gateways[0].stopped.addCallback(stopped.append)
+    harness.gateways[0].stop()
+    harness.network.advance(7.9)
     assert stopped
     assert caller.status == 502
 
 
 def test_request_that_comes_late_in_a_planned_stop_is_not_begun():
-    rig = Rig(repeat=Repeat.STREAM, time_limit_s=20.0)
-    endpoint = rig.endpoint(silent)
-    rig.ready()
+    harness = Harness(repeat=Repeat.STREAM, time_limit_s=20.0)
+    endpoint = harness.endpoint(never_answer)
+    harness.ready()
     # One request holds the process up to its limit, another begins to arrive late.
-    running = rig.send(method=b"POST", body=b"")
-    late = rig.connect()
-    late.transport.write(rig.request_bytes(method=b"POST", body=b"")[:40])
-    rig.network.advance(0.2)
-    rig.gateways[0].stop()
-    rig.network.advance(4.0)
-    late.transport.write(rig.request_bytes(method=b"POST", body=b"")[40:])
-    rig.network.advance(0.2)
+    running = harness.send(method=b"POST", body=b"")
+    late = harness.connect()
+    late.transport.write(harness.request_bytes(method=b"POST", body=b"")[:40])
+    harness.network.advance(0.2)
+    harness.gateways[0].stop()
+    harness.network.advance(4.0)
+    late.transport.write(harness.request_bytes(method=b"POST", body=b"")[40:])
+    harness.network.advance(0.2)
     assert (late.status, reason(late)) == (503, "stopping")
     assert len(endpoint.requests) == 1
     assert running.status is None
 
 
 def test_idle_connections_are_closed_before_the_stop_ends():
-    rig = Rig(time_limit_s=20.0)
-    rig.endpoint(silent)
-    rig.ready()
-    idle = rig.connect()
-    rig.send()
-    rig.network.advance(0.2)
-    rig.gateways[0].stop()
-    rig.network.advance(2.0)
+    harness = Harness(time_limit_s=20.0)
+    harness.endpoint(never_answer)
+    harness.ready()
+    idle = harness.connect()
+    harness.send()
+    harness.network.advance(0.2)
+    harness.gateways[0].stop()
+    harness.network.advance(2.0)
     assert idle.closed is None
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     assert idle.closed is not None
 
 
 def test_fault_of_the_program_is_told_and_harms_no_other_request(monkeypatch):
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
     with monkeypatch.context() as patch:
-        patch.setattr(rig.gateways[0].endpoints, "choose", lambda *_: 1 / 0)
-        assert rig.ask().status == 500
-    assert "ZeroDivisionError" in rig.logs[0].of("process.fault")[0]["cause"]
-    assert rig.ask().status == 200
+        patch.setattr(harness.gateways[0].endpoints, "choose", lambda *_: 1 / 0)
+        assert harness.ask().status == 500
+    assert "ZeroDivisionError" in harness.logs[0].with_event("process.fault")[0]["cause"]
+    assert harness.ask().status == 200
 
 
 def test_process_that_was_frozen_before_a_send_sends_nothing_late():
-    rig = Rig(repeat=Repeat.ONCE, time_limit_s=2.0)
-    endpoint = rig.endpoint(well)
-    rig.ready()
-    caller = rig.connect()
-    caller.transport.write(rig.request_bytes(method=b"POST", body=b""))
+    harness = Harness(repeat=Repeat.ONCE, time_limit_s=2.0)
+    endpoint = harness.endpoint(answer_ok)
+    harness.ready()
+    caller = harness.connect()
+    caller.transport.write(harness.request_bytes(method=b"POST", body=b""))
     # The request is read and a connection is being opened.
-    assert rig.network.advance_until(lambda: rig.gateways[0].forwarder.open)
-    rig.machines[0].freeze()
-    rig.network.advance(3.0)
-    rig.machines[0].wake()
-    rig.network.advance(0.5)
+    assert harness.network.advance_until(lambda: harness.gateways[0].forwarder.open_requests)
+    harness.machines[0].freeze()
+    harness.network.advance(3.0)
+    harness.machines[0].wake()
+    harness.network.advance(0.5)
     assert endpoint.requests == []
     assert (caller.status, reason(caller)) == (503, "time_limit")
 
 
 def test_endpoint_whose_address_has_another_process_is_met_once():
     """One of 20 requests is refused; four when each took two to count, for a few seconds."""
-    rig = Rig(attempts=1)
-    endpoints = [rig.endpoint(well) for _ in range(2)]
-    rig.ready()
+    harness = Harness(attempts=1)
+    endpoints = [harness.endpoint(answer_ok) for _ in range(2)]
+    harness.ready()
     endpoints[0].endpoint_id = "another"
     refused = 0
     for _ in range(20):
-        refused += rig.ask().status != 200
-        rig.network.advance(0.5)
+        refused += harness.ask().status != 200
+        harness.network.advance(0.5)
     assert refused == 1
--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -6,7 +6,7 @@
 
 from turnward.gateway import Repeat
 from turnward.gateway.peers import PeerExchange
-from turnward.gateway.tests.rig import PEERS_PORT, READY_PORT, Rig, raw, well
+from turnward.gateway.tests.harness import PEERS_PORT, READY_PORT, Harness, answer_ok, raw_answer
 
 FUZZ = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
@@ -50,28 +50,28 @@
 ).map(b"\r\n".join)
 
 
-def alive(rig):
-    caller = rig.ask()
-    return caller.status == 200 and not rig.logs[0].of("process.fault")
+def alive(harness):
+    caller = harness.ask()
+    return caller.status == 200 and not harness.logs[0].with_event("process.fault")
 
 
 def fresh(**fields):
-    rig = Rig(**fields)
-    rig.endpoint(well)
-    return rig.ready()
+    harness = Harness(**fields)
+    harness.endpoint(answer_ok)
+    return harness.ready()
 
 
 @FUZZ
 @given(st.one_of(st.binary(max_size=200), LINES))
 def test_any_bytes_of_a_caller(data):
-    rig = fresh(time_limit_s=2.0)
-    caller = rig.connect()
+    harness = fresh(time_limit_s=2.0)
+    caller = harness.connect()
     caller.transport.write(data + b"\r\n\r\n")
-    rig.network.advance(0.1)
+    harness.network.advance(0.1)
     caller.transport.write(b"more\r\n\r\n")
-    rig.network.advance(8.0, step_s=0.05)
+    harness.network.advance(8.0, step_s=0.05)
     assert caller.received == b"" or caller.received.startswith(b"HTTP/1.1 ")
-    assert alive(rig)
+    assert alive(harness)
 
 
 ANSWERS = st.lists(
@@ -109,29 +109,29 @@
     st.sampled_from([Repeat.ANY, Repeat.ONCE, Repeat.STREAM]),
 )
 def test_any_bytes_of_an_endpoint(data, repeat):
-    rig = Rig(repeat=repeat, time_limit_s=1.0, attempts=1)
-    endpoint = rig.endpoint(raw(data))
-    rig.ready()
-    caller = rig.ask(method=b"POST", body=b"", limit_s=3.0)
+    harness = Harness(repeat=repeat, time_limit_s=1.0, attempts=1)
+    endpoint = harness.endpoint(raw_answer(data))
+    harness.ready()
+    caller = harness.ask(method=b"POST", body=b"", limit_s=3.0)
     if caller.status == 200:
         assert b"Answer-Seal: s" in data
         assert b"HTTP/1.1 200 OK" in data
     assert caller.received == b"" or caller.received.startswith(b"HTTP/1.1 ")
-    endpoint.behave = well
-    rig.network.advance(6.0, step_s=0.05)
-    assert rig.ask(method=b"POST", body=b"").status == 200
-    assert not rig.logs[0].of("process.fault")
+    endpoint.behave = answer_ok
+    harness.network.advance(6.0, step_s=0.05)
+    assert harness.ask(method=b"POST", body=b"").status == 200
+    assert not harness.logs[0].with_event("process.fault")
 
 
 @FUZZ
 @given(st.binary(max_size=300))
 def test_any_datagram_and_any_bytes_at_the_inner_ports(data):
-    rig = fresh()
-    sender = rig.network.machine("10.7.7.7")
+    harness = fresh()
+    sender = harness.network.machine("10.7.7.7")
     sender.listenUDP(5, PeerExchange(lambda message: None, lambda host, layout: None))
-    rig.machines[0].datagram_listeners[PEERS_PORT].datagramReceived(data, ("10.7.7.7", 5))
+    harness.machines[0].datagram_listeners[PEERS_PORT].datagramReceived(data, ("10.7.7.7", 5))
     for port in (PEERS_PORT, READY_PORT):
-        caller = rig.connect(port=port)
+        caller = harness.connect(port=port)
         caller.transport.write(data)
-    rig.network.advance(0.2)
-    assert alive(rig)
+    harness.network.advance(0.2)
+    assert alive(harness)
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -12,7 +12,14 @@
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.prepaid import ROW_NAME, TABLE
 from turnward.gateway.spending import TABLE as REPORTS_TABLE
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, PEERS_PORT, Rig, answered, stream
+from turnward.gateway.tests.harness import (
+    ENGINE_POOL,
+    KEY,
+    PEERS_PORT,
+    Harness,
+    answered,
+    stream_events,
+)
 from turnward.rows import RowKey
 
 KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
@@ -78,17 +85,17 @@
 
 
 def test_tokens_do_not_move_while_members_are_added():
-    rig = large_rig()
-    holders = [number for number, holder in enumerate(holds(rig)) if holder]
-    held = [rig.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
+    harness = large_rig()
+    holders = [number for number, holder in enumerate(holds(harness)) if holder]
+    held = [harness.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
     assert min(held) > 0
     for number in range(12):
         # One more each 0.2 s: what is known of the members is never settled.
-        for gateway in rig.gateways:
+        for gateway in harness.gateways:
             gateway.book.add_member(f"10.8.0.{number}:{PEERS_PORT}", "z")
-        rig.network.advance(0.2)
-    moved = sum(len(log.of("prepaid.returned")) for log in rig.logs)
-    committed = sum(g.accounts.ledger.committed_tokens("acme") for g in rig.gateways)
+        harness.network.advance(0.2)
+    moved = sum(len(log.with_event("prepaid.returned")) for log in harness.logs)
+    committed = sum(g.accounts.ledger.committed_tokens("acme") for g in harness.gateways)
     assert (moved, committed) == (0, 0)
 
 
@@ -98,168 +105,174 @@
 def large_rig(gateways=12, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
     fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
-    rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
-    rig.endpoint(stream(4))
-    rig.ready(gateways=gateways)
-    rig.network.advance(3.0)
-    return rig
+    harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
+    harness.endpoint(stream_events(4))
+    harness.ready(gateways=gateways)
+    harness.network.advance(3.0)
+    return harness
 
 
-def holds(rig):
-    return [gateway.holders.holds("acme") for gateway in rig.gateways]
+def holds(harness):
+    return [gateway.holders.holds("acme") for gateway in harness.gateways]
 
 
-def ask(rig, gateway, tokens=8_000):
-    return rig.ask(gateway, method=b"POST", body=b"", headers=rig.prompt(tokens, 20))
+def ask(harness, gateway, tokens=8_000):
+    return harness.ask(gateway, method=b"POST", body=b"", headers=harness.prompt(tokens, 20))
 
 
 def test_only_holders_have_grants_and_write_reports():
-    rig = large_rig()
-    assert sum(holds(rig)) == HOLDERS_PER_WORKSPACE
+    harness = large_rig()
+    assert sum(holds(harness)) == HOLDERS_PER_WORKSPACE
     names = {
         gateway.incarnation
-        for gateway, holder in zip(rig.gateways, holds(rig), strict=True)
+        for gateway, holder in zip(harness.gateways, holds(harness), strict=True)
         if holder
     }
-    assert set(decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens) == names
+    assert set(decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens) == names
     written = {
         row.key.key
-        for gateway in rig.gateways
-        for row in rig.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
+        for gateway in harness.gateways
+        for row in harness.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
     }
     assert written == names
 
 
 def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    assert [ask(rig, other).status for _ in range(5)] == [200] * 5
-    rig.network.advance(2.0)
-    accounts = rig.gateways[other].accounts
+    harness = large_rig()
+    other = holds(harness).index(False)
+    assert [ask(harness, other).status for _ in range(5)] == [200] * 5
+    harness.network.advance(2.0)
+    accounts = harness.gateways[other].accounts
     assert accounts.ledger.free_tokens("acme") == 0
     assert (
-        rig.gateways[other].incarnation
-        not in decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+        harness.gateways[other].incarnation
+        not in decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens
     )
     used = 5 * (8_000 + 4 * 5)
-    own = [gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways]
-    borrowed = sum(gateway.accounts._account("acme").borrowed_tokens for gateway in rig.gateways)
-    assert sum(gateway.accounts.ledger.committed_tokens("acme") for gateway in rig.gateways) == (
-        used + borrowed
+    own = [gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways]
+    borrowed = sum(
+        gateway.accounts._account("acme").borrowed_tokens for gateway in harness.gateways
     )
+    assert sum(
+        gateway.accounts.ledger.committed_tokens("acme") for gateway in harness.gateways
+    ) == (used + borrowed)
     assert sum(own) == used
 
 
 def test_concurrent_requests_do_not_use_the_same_tokens():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    first = rig.ask(other, method=b"POST", body=b"", headers=rig.prompt(1_000, 400))
+    harness = large_rig()
+    other = holds(harness).index(False)
+    first = harness.ask(other, method=b"POST", body=b"", headers=harness.prompt(1_000, 400))
     assert first.status == 200
     # What the first one left over is free here for a moment.
     callers = [
-        rig.send(other, method=b"POST", body=b"", headers=rig.prompt(tokens, 400))
+        harness.send(other, method=b"POST", body=b"", headers=harness.prompt(tokens, 400))
         for tokens in (2_000, 3_000, 4_000, 5_000)
     ]
-    assert rig.network.advance_until(lambda: all(map(answered, callers)))
+    assert harness.network.advance_until(lambda: all(map(answered, callers)))
     assert [caller.status for caller in callers] == [200] * 4
-    assert not rig.logs[other].of("prepaid.taken")
+    assert not harness.logs[other].with_event("prepaid.taken")
 
 
 def test_holders_are_asked_round_robin():
-    rig = large_rig()
-    other = holds(rig).index(False)
+    harness = large_rig()
+    other = holds(harness).index(False)
     for _ in range(10):
-        ask(rig, other, tokens=500)
+        ask(harness, other, tokens=500)
     lent = [
-        len(log.of("prepaid.lent"))
-        for log, holder in zip(rig.logs, holds(rig), strict=True)
+        len(log.with_event("prepaid.lent"))
+        for log, holder in zip(harness.logs, holds(harness), strict=True)
         if holder
     ]
     assert min(lent) >= 5
 
 
 def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    for number, holder in enumerate(holds(rig)):
+    harness = large_rig()
+    other = holds(harness).index(False)
+    for number, holder in enumerate(holds(harness)):
         if holder:
-            rig.machines[number].kill()
-    assert ask(rig, other).status == 200
-    assert decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens[rig.gateways[other].incarnation]
+            harness.machines[number].kill()
+    assert ask(harness, other).status == 200
+    assert decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens[
+        harness.gateways[other].incarnation
+    ]
 
 
 def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
-    rig = large_rig()
+    harness = large_rig()
     none = [
-        number for number, gateway in enumerate(rig.gateways) if not gateway.holders.holds("acme")
+        number
+        for number, gateway in enumerate(harness.gateways)
+        if not gateway.holders.holds("acme")
     ]
-    for number, holder in enumerate(holds(rig)):
+    for number, holder in enumerate(holds(harness)):
         if holder:
-            rig.machines[number].kill()
-    for client in rig.clients:
+            harness.machines[number].kill()
+    for client in harness.clients:
         client.faults.away = True
-    rig.network.advance(1.0)
-    assert ask(rig, none[0]).status == 503
-    for client in rig.clients:
+    harness.network.advance(1.0)
+    assert ask(harness, none[0]).status == 503
+    for client in harness.clients:
         client.faults.away = False
-    rig.network.advance(6.0)
-    assert ask(rig, none[0]).status == 200
+    harness.network.advance(6.0)
+    assert ask(harness, none[0]).status == 200
 
 
 def test_routers_cut_off_from_the_store_borrow_from_holders():
-    rig = large_rig()
-    for client in rig.clients:
+    harness = large_rig()
+    for client in harness.clients:
         client.faults.away = True
-    rig.network.advance(6.0)
+    harness.network.advance(6.0)
     # Within what the holders' last reports let them spend at once.
-    served = [ask(rig, number, tokens=1_500).status for number in range(12)]
+    served = [ask(harness, number, tokens=1_500).status for number in range(12)]
     assert served == [200] * 12
 
 
 def test_exhausted_workspace_is_refused_at_every_router():
-    rig = large_rig(prepaid=1_000)
-    assert {ask(rig, number).status for number in range(12)} == {402}
+    harness = large_rig(prepaid=1_000)
+    assert {ask(harness, number).status for number in range(12)} == {402}
 
 
 def test_request_cancelled_while_borrowing_costs_no_tokens():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    caller = rig.send(other, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
+    harness = large_rig()
+    other = holds(harness).index(False)
+    caller = harness.send(other, method=b"POST", body=b"", headers=harness.prompt(8_000, 20))
     caller.transport.abortConnection()
-    rig.network.advance(3.0)
-    own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways)
+    harness.network.advance(3.0)
+    own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways)
     assert own <= 8_000 + 20
 
 
 def test_cancelled_loan_is_not_counted():
-    rig = large_rig()
-    holder = holds(rig).index(True)
-    accounts = rig.gateways[holder].accounts
+    harness = large_rig()
+    holder = holds(harness).index(True)
+    accounts = harness.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
     # More than is held, so that it has to wait for the store.
     lending = accounts.lend_for_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
     lending.addErrback(lambda failure: None)
     lending.cancel()
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     assert accounts.ledger.committed_tokens("acme") == before
 
 
 @pytest.mark.parametrize("tokens", [0, -5])
 def test_return_of_a_non_positive_amount_is_rejected(tokens):
-    rig = large_rig()
-    before = rig.gateways[0].accounts.ledger.free_tokens("acme")
+    harness = large_rig()
+    before = harness.gateways[0].accounts.ledger.free_tokens("acme")
     body = msgspec.msgpack.encode(["acme", tokens])
-    caller = rig.connect(port=PEERS_PORT)
+    caller = harness.connect(port=PEERS_PORT)
     head = b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (RETURNS_PATH, len(body))
     caller.transport.write(head + body)
-    assert rig.network.advance_until(lambda: answered(caller))
+    assert harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 400
-    assert rig.gateways[0].accounts.ledger.free_tokens("acme") == before
+    assert harness.gateways[0].accounts.ledger.free_tokens("acme") == before
 
 
 def test_returned_tokens_are_counted_once():
-    rig = large_rig()
-    accounts = rig.gateways[holds(rig).index(True)].accounts
+    harness = large_rig()
+    accounts = harness.gateways[holds(harness).index(True)].accounts
     before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
     accounts.accept_return(LoanReturn("acme", 500))
     after = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
@@ -267,15 +280,15 @@
 
 
 def test_successor_of_a_holder_returns_grants_it_does_not_need():
-    rig = large_rig()
-    number = holds(rig).index(True)
-    gateway = rig.gateways[number]
+    harness = large_rig()
+    number = holds(harness).index(True)
+    gateway = harness.gateways[number]
     assert gateway.accounts.ledger.free_tokens("acme") > 0
-    machine = rig.machines[number]
+    machine = harness.machines[number]
     machine.kill()
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     machine.restart()
-    rig.run_gateway(machine, gateway.incarnation.partition("@")[0])
-    rig.network.advance(2.0)
-    granted = decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+    harness.run_gateway(machine, gateway.incarnation.partition("@")[0])
+    harness.network.advance(2.0)
+    granted = decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens
     assert gateway.incarnation not in granted
--- a/turnward/gateway/tests/test_innocent_requests.py
+++ b/turnward/gateway/tests/test_innocent_requests.py
@@ -58,17 +58,17 @@
         until_s = self.play.now_s + lasts_s
         while self.play.now_s < until_s:
             self.ask()
-            self.play.rig.network.advance(self._draw.uniform(0.0, 2 * pause_s))
+            self.play.harness.network.advance(self._draw.uniform(0.0, 2 * pause_s))
 
     def end_engines(self):
         """End engines one right after the other, before any request in between is answered."""
         # All that was asked for before is answered; what follows runs beside what ends engines.
-        self.play.rig.network.advance(2.0)
+        self.play.harness.network.advance(2.0)
         for _ in range(3 * len(self._fatal)):
             self.ask(times=3)
             self.play.send(self._draw.choice(self._fatal), self._draw.randrange(99))
-            self.play.rig.network.advance(self._draw.uniform(0.05, 0.1))
-        self.play.rig.network.advance(0.2)
+            self.play.harness.network.advance(self._draw.uniform(0.05, 0.1))
+        self.play.harness.network.advance(0.2)
 
     def ask_and_end_engines(self, times):
         """Ask for a while, then end engines several times and ask on after each."""
@@ -76,7 +76,7 @@
         for _ in range(times):
             self.end_engines()
             self.ask_for(6.0)
-        self.play.rig.network.advance(5.0)
+        self.play.harness.network.advance(5.0)
 
     def refused_s(self):
         """Return when harmless requests were sent that were refused for what another did."""
@@ -124,7 +124,7 @@
     newsroom = Newsroom(seed, gateways)
     newsroom.end_engines()
     newsroom.ask_for(8.0)
-    newsroom.play.rig.network.advance(5.0)
+    newsroom.play.harness.network.advance(5.0)
     assert newsroom.longest_refused_s() <= INNOCENT_S + BACK_S
     assert newsroom.late_sends() <= SENDS_LIMIT
     assert newsroom.play.ask(POPULAR).status == 200
@@ -144,7 +144,7 @@
     newsroom = Newsroom(seed=1, gateways=4, endpoints=6, fatal=())
     newsroom.ask_for(3.0)
     play = newsroom.play
-    play.rig.network.advance(2.0)
+    play.harness.network.advance(2.0)
     play.crashing = (POPULAR,)
     newsroom.ask_for(20.0, pause_s=0.5)
     assert play.sends_after(POPULAR, play.third_crash_s(POPULAR) + KNOWN_S) <= SENDS_LIMIT
@@ -155,10 +155,10 @@
     newsroom = Newsroom(seed=1, gateways=2, endpoints=6, fatal=())
     newsroom.ask_for(3.0)
     play = newsroom.play
-    play.rig.network.advance(2.0)
+    play.harness.network.advance(2.0)
     play.crashing = (POPULAR,)
     newsroom.ask_for(12.0, pause_s=0.5)
-    lines = [line for log in play.rig.logs for line in log.lines]
+    lines = [line for log in play.harness.logs for line in log.lines]
     told = [line["verdict"] for line in lines if line["event"] == "content.held"]
     assert set(told) == {"on_trial", "sure"}
     assert any(line["event"] == "content.tried" for line in lines)
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -10,8 +10,16 @@
 from turnward.events.story import BELIEFS, CONTENTS, TOKENS, read_lines, render_line, tell_story
 from turnward.gateway import Repeat, Workspace
 from turnward.gateway.logs import BoundedLineWriter, GatewayLog
-from turnward.gateway.tests import rig as rigs
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, Rig, reset, silent, stream, well
+from turnward.gateway.tests import harness as rigs
+from turnward.gateway.tests.harness import (
+    ENGINE_POOL,
+    KEY,
+    Harness,
+    abort_connection,
+    answer_ok,
+    never_answer,
+    stream_events,
+)
 
 PAGE = Path("docs/log-events.md")
 SOURCES = [*Path("turnward/gateway").glob("*.py"), *Path("platform").glob("*.py")]
@@ -41,11 +49,11 @@
     def __init__(self, monkeypatch, tmp_path, **fields):
         self.path = tmp_path / "lines"
         descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT)
-        self.rig = Rig(**fields)
+        self.harness = Harness(**fields)
 
         def make_log():
             return GatewayLog(
-                BoundedLineWriter(descriptor), self.rig.network.clock.seconds, "node-1@x"
+                BoundedLineWriter(descriptor), self.harness.network.clock.seconds, "node-1@x"
             )
 
         monkeypatch.setattr(rigs, "ListLog", make_log)
@@ -68,12 +76,12 @@
     told = Told(
         monkeypatch, tmp_path, pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM
     )
-    rig = told.rig
-    rig.endpoint(stream(4))
-    rig.ready()
-    rig.network.advance(1.0)
-    headers = rig.prompt(5_000, 10)
-    caller = rig.ask(method=b"POST", body=b"", request_id=b"lost-1", headers=headers)
+    harness = told.harness
+    harness.endpoint(stream_events(4))
+    harness.ready()
+    harness.network.advance(1.0)
+    headers = harness.prompt(5_000, 10)
+    caller = harness.ask(method=b"POST", body=b"", request_id=b"lost-1", headers=headers)
     assert caller.status == 402
     story = told.story("lost-1")
     assert "reason=budget_exhausted" in find(story, "request.ended")
@@ -83,13 +91,13 @@
 
 @pytest.mark.parametrize(
     ("behave", "status", "words"),
-    [(reset, 502, ("how=lost", "sent=True")), (silent, 504, ())],
+    [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
 def test_walk_for_a_request_answered_502_or_504(monkeypatch, tmp_path, behave, status, words):
     told = Told(monkeypatch, tmp_path, repeat=Repeat.ONCE, time_limit_s=1.0)
-    told.rig.endpoint(behave)
-    told.rig.ready()
-    caller = told.rig.ask(method=b"POST", body=b"", request_id=b"lost-2")
+    told.harness.endpoint(behave)
+    told.harness.ready()
+    caller = told.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
     assert caller.status == status
     story = told.story("lost-2")
     assert "endpoint=e-1" in find(story, "attempt.chosen")
@@ -101,11 +109,11 @@
 
 def test_walk_for_a_request_refused_while_cut_off(monkeypatch, tmp_path):
     told = Told(monkeypatch, tmp_path)
-    told.rig.endpoint(stream(1))
-    told.rig.ready()
-    told.rig.clients[0].faults.away = True
-    told.rig.network.advance(8.0)
-    caller = told.rig.ask(key=b"new-key", request_id=b"lost-3")
+    told.harness.endpoint(stream_events(1))
+    told.harness.ready()
+    told.harness.clients[0].faults.away = True
+    told.harness.network.advance(8.0)
+    caller = told.harness.ask(key=b"new-key", request_id=b"lost-3")
     assert caller.status == 503
     story = told.story("lost-3")
     assert "reason=configuration_not_confirmed" in find(story, "request.ended")
@@ -113,19 +121,21 @@
 
 
 def test_lost_and_regained_endpoints_and_peers_have_lines_of_their_own():
-    rig = Rig(repeat=Repeat.ANY, attempts=2)
-    endpoint = rig.endpoint(reset)
-    rig.ready(gateways=2)
-    rig.network.advance(1.0)
-    log = rig.logs[0]
-    assert [line["peer"] for line in log.of("peer.regained")] == [rig.gateways[1].peers_address]
+    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    endpoint = harness.endpoint(abort_connection)
+    harness.ready(gateways=2)
+    harness.network.advance(1.0)
+    log = harness.logs[0]
+    assert [line["peer"] for line in log.with_event("peer.regained")] == [
+        harness.gateways[1].peers_address
+    ]
     for _ in range(2):
-        rig.ask()
-    assert [line["endpoint"] for line in log.of("endpoint.lost")] == ["e-1"]
-    endpoint.behave = well
-    rig.network.advance(6.0)
-    assert rig.ask().status == 200
-    assert [line["endpoint"] for line in log.of("endpoint.regained")] == ["e-1"]
-    rig.machines[1].kill()
-    rig.network.advance(4.0)
-    assert [line["live"] for line in log.of("peer.lost")] == [0]
+        harness.ask()
+    assert [line["endpoint"] for line in log.with_event("endpoint.lost")] == ["e-1"]
+    endpoint.behave = answer_ok
+    harness.network.advance(6.0)
+    assert harness.ask().status == 200
+    assert [line["endpoint"] for line in log.with_event("endpoint.regained")] == ["e-1"]
+    harness.machines[1].kill()
+    harness.network.advance(4.0)
+    assert [line["live"] for line in log.with_event("peer.lost")] == [0]
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -10,14 +10,22 @@
 from turnward.gateway.choice import ChoiceRule, EndpointBook
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, Rig, full, reset, stream, well
+from turnward.gateway.tests.harness import (
+    ENGINE_POOL,
+    KEY,
+    Harness,
+    abort_connection,
+    answer_not_run,
+    answer_ok,
+    stream_events,
+)
 from turnward.gateway.tests.test_settings import GOOD
 from turnward.settings import SettingsError
 
 ENGINE = EngineTraits(slots=8, event_tokens=5)
 
 
-class Switched(Rig):
+class Switched(Harness):
     """A deployment whose gateways lack a mechanism."""
 
     def __init__(self, mechanisms, **fields):
@@ -27,7 +35,7 @@
 
 def prepaid_rig(mechanisms, prepaid_tokens=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid_tokens)
-    rig = Switched(
+    harness = Switched(
         mechanisms,
         pools=(ENGINE_POOL,),
         workspaces=(workspace,),
@@ -35,51 +43,51 @@
         time_limit_s=9.0,
         priority=3,
     )
-    rig.endpoint(stream(4))
-    rig.ready(gateways=2)
-    rig.network.advance(1.0)
-    return rig
+    harness.endpoint(stream_events(4))
+    harness.ready(gateways=2)
+    harness.network.advance(1.0)
+    return harness
 
 
-def ask_model(rig, gateway=0, tokens=8_000):
-    return rig.ask(gateway, method=b"POST", body=b"", headers=rig.prompt(tokens, 20)).status
+def ask_model(harness, gateway=0, tokens=8_000):
+    return harness.ask(gateway, method=b"POST", body=b"", headers=harness.prompt(tokens, 20)).status
 
 
 def test_without_loans_nothing_is_borrowed():
-    rig = prepaid_rig(Mechanisms(loans=False))
-    for client in rig.clients:
+    harness = prepaid_rig(Mechanisms(loans=False))
+    for client in harness.clients:
         client.faults.away = True
-    rig.network.advance(6.0)
-    statuses = [ask_model(rig, tokens=20_000) for _ in range(12)]
+    harness.network.advance(6.0)
+    statuses = [ask_model(harness, tokens=20_000) for _ in range(12)]
     assert 503 in statuses
-    assert not [line for log in rig.logs for line in log.of("prepaid.borrowed")]
+    assert not [line for log in harness.logs for line in log.with_event("prepaid.borrowed")]
 
 
 @pytest.mark.parametrize(("reports", "returned"), [(True, True), (False, False)])
 def test_without_reports_all_that_a_dead_router_held_counts_as_spent(reports, returned):
-    rig = prepaid_rig(Mechanisms(spend_reports=reports))
-    assert ask_model(rig) == 200
-    rig.network.advance(1.0)
-    machine = rig.machines[0]
+    harness = prepaid_rig(Mechanisms(spend_reports=reports))
+    assert ask_model(harness) == 200
+    harness.network.advance(1.0)
+    machine = harness.machines[0]
     machine.kill()
     machine.restart()
-    successor = rig.run_gateway(machine, "node-1")
-    assert rig.network.advance_until(lambda: successor.ready)
-    rig.network.advance(2.0)
-    assert ask_model(rig, -1) == 200
-    folded = rig.logs[-1].of("prepaid.folded")
+    successor = harness.run_gateway(machine, "node-1")
+    assert harness.network.advance_until(lambda: successor.ready)
+    harness.network.advance(2.0)
+    assert ask_model(harness, -1) == 200
+    folded = harness.logs[-1].with_event("prepaid.folded")
     assert folded
     assert (folded[0]["returned"] > 0) is returned
 
 
 @pytest.mark.parametrize(("urgency", "status"), [(True, 503), (False, 200)])
 def test_without_urgency_a_cut_off_router_serves_who_comes_first(urgency, status):
-    rig = prepaid_rig(Mechanisms(urgency_in_cut=urgency, loans=False))
-    for client in rig.clients:
+    harness = prepaid_rig(Mechanisms(urgency_in_cut=urgency, loans=False))
+    for client in harness.clients:
         client.faults.away = True
-    rig.network.advance(16.0)
-    free = rig.gateways[0].accounts.ledger.free_tokens("acme")
-    assert ask_model(rig, tokens=int(free * 0.8)) == status
+    harness.network.advance(16.0)
+    free = harness.gateways[0].accounts.ledger.free_tokens("acme")
+    assert ask_model(harness, tokens=int(free * 0.8)) == status
 
 
 def book(rule, seed=0):
@@ -139,25 +147,25 @@
 
 @pytest.mark.parametrize(("repeats", "status"), [(True, 200), (False, 502)])
 def test_without_repeats_a_failure_is_passed_on(repeats, status):
-    rig = Switched(Mechanisms(repeats=repeats))
-    rig.endpoint(reset)
-    rig.ready()
-    rig.endpoint(well)
-    rig.network.advance(1.0)
-    statuses = {rig.ask().status for _ in range(4)}
+    harness = Switched(Mechanisms(repeats=repeats))
+    harness.endpoint(abort_connection)
+    harness.ready()
+    harness.endpoint(answer_ok)
+    harness.network.advance(1.0)
+    statuses = {harness.ask().status for _ in range(4)}
     assert status in statuses
     assert repeats or statuses <= {200, 502}
 
 
 @pytest.mark.parametrize("looks", [True, False])
 def test_without_a_look_for_others_a_repeat_is_used_up_for_nothing(looks):
-    rig = Switched(Mechanisms(looks_for_others=looks))
-    rig.endpoint(full)
-    rig.ready()
+    harness = Switched(Mechanisms(looks_for_others=looks))
+    harness.endpoint(answer_not_run)
+    harness.ready()
     # More than the 0.8 x (0.2 x 70 + 50) repeats that are allowed in the window.
     for _ in range(70):
-        rig.ask()
-    whys = {line["why"] for line in rig.logs[0].of("attempt.not_repeated")}
+        harness.ask()
+    whys = {line["why"] for line in harness.logs[0].with_event("attempt.not_repeated")}
     assert ("repeat_budget_used_up" in whys) is not looks
 
 
--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -11,7 +11,7 @@
 
 from turnward.gateway import EndpointPool, EngineTraits, Repeat
 from turnward.gateway.mechanisms import Mechanisms
-from turnward.gateway.tests.rig import KEY, Rig, answer_head, answered, events
+from turnward.gateway.tests.harness import KEY, Harness, answer_head, answered, encode_events
 from turnward.gateway.tests.test_forwarding import reason
 
 #: Prompt tokens that an engine reads in a millisecond, and of each request.
@@ -28,10 +28,10 @@
 class ReadingEngine:
     """An engine that reads prompts in the order in which they come."""
 
-    def __init__(self, rig):
+    def __init__(self, harness):
         self._free_s = 0.0
-        self.endpoint = rig.endpoint(self._take, announce=False)
-        rig.announce(self.endpoint, slots=64)
+        self.endpoint = harness.endpoint(self._take, announce=False)
+        harness.announce(self.endpoint, slots=64)
 
     def _take(self, endpoint, request):
         machine = endpoint.machine
@@ -45,7 +45,7 @@
             return
         head = [*answer_head(request), (b"content-type", b"text/event-stream")]
         request.start(200, head, None)
-        request.write(events(1, 2))
+        request.write(encode_events(1, 2))
         request.finish()
 
 
@@ -53,45 +53,45 @@
     """Requests at several times the engines' capacity, and what became of each."""
 
     def __init__(self, times, gateways=3, admission=True, **route):
-        self.rig = Rig(
+        self.harness = Harness(
             pools=(POOL,),
             routes=(
-                Rig.route(repeat=Repeat.STREAM, target_s=TARGET_S, time_limit_s=10.0, **route),
+                Harness.route(repeat=Repeat.STREAM, target_s=TARGET_S, time_limit_s=10.0, **route),
             ),
         )
-        self.rig.mechanisms = Mechanisms(admission=admission)
+        self.harness.mechanisms = Mechanisms(admission=admission)
         for _ in range(ENGINES):
-            ReadingEngine(self.rig)
-        self.rig.ready(gateways)
-        self.rig.network.advance(0.3)
+            ReadingEngine(self.harness)
+        self.harness.ready(gateways)
+        self.harness.network.advance(0.3)
         self.sent = []
         self.begun_s = {}
         self.send_for(WAVE_S, times * CAPACITY_PER_S)
 
     def send_for(self, seconds, per_s):
-        clock = self.rig.network.clock
+        clock = self.harness.network.clock
         for _ in range(round(seconds * per_s)):
             number = len(self.sent)
-            caller = self.rig.send(
-                number % len(self.rig.gateways),
+            caller = self.harness.send(
+                number % len(self.harness.gateways),
                 key=KEY,
-                headers=self.rig.prompt(PROMPT_TOKENS, 50, b"%x:%d" % (number, PROMPT_TOKENS)),
+                headers=self.harness.prompt(PROMPT_TOKENS, 50, b"%x:%d" % (number, PROMPT_TOKENS)),
             )
             self.sent.append((caller, clock.seconds()))
-            self.rig.network.advance(max(0.0, 1 / per_s - 0.01))
+            self.harness.network.advance(max(0.0, 1 / per_s - 0.01))
             self._look()
-        self.rig.network.advance(0.01)
+        self.harness.network.advance(0.01)
         self._look()
 
     def _look(self):
-        now_s = self.rig.network.clock.seconds()
+        now_s = self.harness.network.clock.seconds()
         for caller, sent_s in self.sent:
             if caller not in self.begun_s and b"\r\n\r\n" in caller.received:
                 self.begun_s[caller] = now_s - sent_s
 
     def finish(self):
         for _ in range(200):
-            self.rig.network.advance(0.05)
+            self.harness.network.advance(0.05)
             self._look()
             if all(answered(caller) for caller, _ in self.sent):
                 break
@@ -129,7 +129,7 @@
 
 def test_requests_are_served_in_time_again_as_soon_as_a_burst_ends():
     wave = Wave(times=5.0)
-    wave.rig.network.advance(1.0)
+    wave.harness.network.advance(1.0)
     before = len(wave.sent)
     wave.send_for(2.0, 0.5 * CAPACITY_PER_S)
     wave.finish()
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -23,7 +23,7 @@
 from turnward.gateway.loans import LenderBase, LoanOffer, LoanRule
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import PromiseRule, SpendReports
-from turnward.gateway.tests.rig import KEY, ListLog, Rig, stream
+from turnward.gateway.tests.harness import KEY, Harness, ListLog, stream_events
 from turnward.gateway.tests.test_forwarding import ENGINE_POOL, reason
 from turnward.ledger import Reservation, SizingRule
 from turnward.rows import (
@@ -487,7 +487,7 @@
             pass
         world.step(("time", 0, 0.1))
     calm(world, 2.0)
-    return world.routers[0]._log.of("prepaid.folded")[0]
+    return world.routers[0]._log.with_event("prepaid.folded")[0]
 
 
 def test_successor_that_reaches_the_store_late_counts_no_spending_after_its_start():
@@ -752,23 +752,23 @@
 
 
 def prepaid_rig(prepaid):
-    rig = Rig(
+    harness = Harness(
         pools=(ENGINE_POOL,),
         workspaces=(Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid),),
         repeat=Repeat.STREAM,
         time_limit_s=10.0,
     )
-    rig.endpoint(stream(4))
-    return rig.ready(gateways=2)
+    harness.endpoint(stream_events(4))
+    return harness.ready(gateways=2)
 
 
 def test_gateways_serve_up_to_the_limit_and_no_further():
-    rig = prepaid_rig(1_000)
-    rig.network.advance(1.0)
+    harness = prepaid_rig(1_000)
+    harness.network.advance(1.0)
     statuses = []
     for turn in range(20):
-        headers = rig.prompt(80, 40)
-        statuses.append(rig.ask(gateway=turn % 2, method=b"POST", body=b"", headers=headers))
+        headers = harness.prompt(80, 40)
+        statuses.append(harness.ask(gateway=turn % 2, method=b"POST", body=b"", headers=headers))
     served = [caller for caller in statuses if caller.status == 200]
     refused = [caller for caller in statuses if caller.status != 200]
     # Each takes 80 tokens in and 4 events of 5 tokens out.
@@ -778,7 +778,7 @@
 
 def test_retry_after_a_run_reserves_the_output_of_another_run():
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=100_000)
-    rig = Rig(
+    harness = Harness(
         pools=(ENGINE_POOL,),
         workspaces=(workspace,),
         repeat=Repeat.STREAM,
@@ -786,27 +786,29 @@
         attempts=2,
     )
     for _ in range(2):
-        rig.endpoint(stream(9, upto=4, then=lambda e, r: e.machine.callLater(0.1, r.abort)))
-    rig.ready()
-    rig.network.advance(1.0)
-    rig.ask(method=b"POST", body=b"", headers=rig.prompt(80, 40))
-    ledger = rig.gateways[0].accounts.ledger
-    assert sum(len(endpoint.requests) for endpoint in rig.endpoints) == 2
+        harness.endpoint(
+            stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
+        )
+    harness.ready()
+    harness.network.advance(1.0)
+    harness.ask(method=b"POST", body=b"", headers=harness.prompt(80, 40))
+    ledger = harness.gateways[0].accounts.ledger
+    assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 2
     assert ledger.committed_tokens("acme") == 80 + 40 + 40
 
 
 def test_request_larger_than_all_that_is_left_is_refused_at_once():
-    rig = prepaid_rig(1_000)
-    rig.network.advance(1.0)
-    caller = rig.ask(method=b"POST", body=b"", headers=rig.prompt(2_000, 10))
+    harness = prepaid_rig(1_000)
+    harness.network.advance(1.0)
+    caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(2_000, 10))
     assert (caller.status, reason(caller)) == (402, "budget_exhausted")
 
 
 def test_gateway_cut_off_from_the_store_serves_what_it_holds():
-    rig = prepaid_rig(100_000)
-    rig.network.advance(2.0)
-    for client in rig.clients:
+    harness = prepaid_rig(100_000)
+    harness.network.advance(2.0)
+    for client in harness.clients:
         client.faults.away = True
-    rig.network.advance(3.0)
-    caller = rig.ask(method=b"POST", body=b"", headers=rig.prompt(80, 40))
+    harness.network.advance(3.0)
+    caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(80, 40))
     assert caller.status == 200
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -22,6 +22,7 @@
 from turnward.gateway.rate_limit import RateShare, ToldLimit
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.tests.feedback_simulation import WordPlay
+from turnward.gateway.tests.harness import Harness, answer_ok, answered
 from turnward.gateway.tests.rate_limit_simulation import (
     ByAllMembers,
     ByOwnWord,
@@ -32,7 +33,6 @@
     random_play,
     stated_limit,
 )
-from turnward.gateway.tests.rig import Rig, answered, well
 from turnward.gateway.tests.test_forwarding import reason
 
 #: What an endpoint bears for a while: in each span, its rate by a factor, and some requests more.
@@ -123,7 +123,7 @@
     refusals = [caller for caller in play.callers if caller.status == 503]
     assert {reason(caller) for caller in refusals} == {"endpoints_limited"}
     assert all(0.25 <= float(caller.header(b"retry-after")) <= 6.0 for caller in refusals)
-    lines = [line for log in play.rig.logs for line in log.of("request.ended")]
+    lines = [line for log in play.harness.logs for line in log.with_event("request.ended")]
     assert max(line["took_ms"] for line in lines if line["outcome"] == "refused") < 50
 
 
@@ -137,8 +137,10 @@
     before = len(limited.sends)
     play.ask_for(3.0, pause_s=0.05)
     assert len(limited.sends) - before >= 12
-    changes = [line["limit_per_s"] for line in play.rig.logs[0].of("endpoint.limited")]
-    changes += [line["limit_per_s"] for line in play.rig.logs[0].of("endpoint.told_limit")]
+    changes = [line["limit_per_s"] for line in play.harness.logs[0].with_event("endpoint.limited")]
+    changes += [
+        line["limit_per_s"] for line in play.harness.logs[0].with_event("endpoint.told_limit")
+    ]
     assert set(changes) == {1.0, None}
 
 
@@ -147,7 +149,7 @@
     limited = play.endpoints[0]
     limited.limit_per_s = 1.0
     for change in range(12):
-        play.rig.announce(limited.endpoint, zone="z", slots=5 + change)
+        play.harness.announce(limited.endpoint, zone="z", slots=5 + change)
         play.ask_for(0.5, pause_s=0.025)
     assert limited.most_when_limited(SPAN_S) <= allowed(1.0)
 
@@ -160,20 +162,20 @@
 
 
 def test_requests_waiting_for_connections_obey_a_new_limit():
-    rig = Rig()
-    limited = rig.endpoint(well)
-    rig.ready()
-    record = rig.gateways[0].endpoints.get("e-1")
-    callers = [rig.connect() for _ in range(6)]
+    harness = Harness()
+    limited = harness.endpoint(answer_ok)
+    harness.ready()
+    record = harness.gateways[0].endpoints.get("e-1")
+    callers = [harness.connect() for _ in range(6)]
     for caller in callers:
-        caller.transport.write(rig.request_bytes())
-    rig.network.advance_until(lambda: record.opening == 6)
-    rig.gateways[0]._limits.name("e-1", 1.0)
-    rig.network.advance_until(lambda: all(answered(caller) for caller in callers))
+        caller.transport.write(harness.request_bytes())
+    harness.network.advance_until(lambda: record.opening == 6)
+    harness.gateways[0]._limits.name("e-1", 1.0)
+    harness.network.advance_until(lambda: all(answered(caller) for caller in callers))
     assert len(limited.requests) == 1
     assert sorted(caller.status for caller in callers) == [200] + [503] * 5
     assert record.opening == record.in_flight == 0
-    assert {line["hold"] for line in rig.logs[0].of("attempt.failed")} == {"limited"}
+    assert {line["hold"] for line in harness.logs[0].with_event("attempt.failed")} == {"limited"}
 
 
 def fixed_ranks(rank, members):
@@ -182,7 +184,7 @@
     ranks._book.members_read = True
     for number in range(2, members + 1):
         ranks._book.add_member(f"10.0.0.{number}:1", "z")
-    ranks.of = lambda key: rank
+    ranks.with_event = lambda key: rank
     return ranks
 
 
--- a/turnward/gateway/tests/test_home.py
+++ b/turnward/gateway/tests/test_standalone.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer, task
 
 from turnward.gateway import GatewayMetrics, GatewaySettings, load_gateway_settings
-from turnward.gateway.home import TableRows, load_gateway_resources
+from turnward.gateway.standalone import TableRows, load_gateway_resources
 from turnward.rows import (
     RowChange,
     RowKey,
--- a/turnward/gateway/tests/test_store_returns.py
+++ b/turnward/gateway/tests/test_store_returns.py
@@ -37,7 +37,7 @@
     play.go_back(7.0, away_s=2.5)
     play.run_traffic(0.5)
     leaving = play.endpoints[0]
-    play.rig.announce(leaving, leaving=True)
+    play.harness.announce(leaving, leaving=True)
     assert requests_after(play, leaving, LEAVES_BINDS_S) == 0
     assert set(play.statuses()) == {200}
 
@@ -49,9 +49,9 @@
     play.run_traffic(6.0)
     leaving = play.endpoints[0]
     if how == "is gone":
-        play.rig.rows.remove("endpoints", leaving.endpoint_id)
+        play.harness.rows.remove("endpoints", leaving.endpoint_id)
     else:
-        play.rig.announce(leaving, leaving=True)
+        play.harness.announce(leaving, leaving=True)
     play.run_traffic(2.0)
     before = len(leaving.requests)
     play.go_back(5.0, written_again_s=2.0)
@@ -65,11 +65,11 @@
     play = RollbackSimulation(gateways=3)
     play.run_traffic(6.0)
     back = play.endpoints[0]
-    play.rig.rows.remove("endpoints", back.endpoint_id)
+    play.harness.rows.remove("endpoints", back.endpoint_id)
     play.run_traffic(2.0)
     play.go_back(5.0)
     play.run_traffic(0.2)
-    play.rig.announce(back)
+    play.harness.announce(back)
     before = len(back.requests)
     play.run_traffic(3.0)
     assert len(back.requests) > before
@@ -79,16 +79,16 @@
 def test_zone_that_was_drained_stays_drained_over_a_return(written_again_s):
     play = RollbackSimulation(gateways=3)
     for endpoint, zone in zip(play.endpoints, ("north", "north", "south", "south"), strict=True):
-        play.rig.announce(endpoint, zone=zone)
+        play.harness.announce(endpoint, zone=zone)
     play.run_traffic(6.0)
-    play.rig.rows.put("configuration", "drained/north", b"{}")
+    play.harness.rows.put("configuration", "drained/north", b"{}")
     play.run_traffic(2.0)
     north = play.endpoints[:2]
     before = [len(endpoint.requests) for endpoint in north]
     play.go_back(5.0, written_again_s=written_again_s)
     play.run_traffic(8.0)
     assert [len(endpoint.requests) for endpoint in north] == before
-    play.rig.rows.remove("configuration", "drained/north")
+    play.harness.rows.remove("configuration", "drained/north")
     play.run_traffic(3.0)
     assert len(north[0].requests) > before[0]
 
@@ -96,28 +96,28 @@
 def test_router_that_starts_while_the_store_is_away_ends_no_order():
     """It knew the order by its peers, and took the first table that it read for all there is."""
     play = RollbackSimulation(gateways=3)
-    play.rig.announce(play.endpoints[0], zone="north")
+    play.harness.announce(play.endpoints[0], zone="north")
     play.run_traffic(6.0)
-    play.rig.rows.put("configuration", "drained/north", b"{}")
+    play.harness.rows.put("configuration", "drained/north", b"{}")
     play.run_traffic(2.0)
     north = play.endpoints[0]
     before = len(north.requests)
-    play.rig.network.clock.callLater(0.3, play.rig.gateway)
+    play.harness.network.clock.callLater(0.3, play.harness.gateway)
     play.go_back(5.0, away_s=1.5, written_again_s=2.0)
     play.run_traffic(5.0)
-    assert play.rig.gateways[3].ready
+    assert play.harness.gateways[3].ready
     assert len(north.requests) == before
 
 
 def test_order_that_the_store_lost_for_good_ends_some_seconds_after_the_return():
     play = RollbackSimulation(gateways=3)
-    play.rig.announce(play.endpoints[0], zone="north")
+    play.harness.announce(play.endpoints[0], zone="north")
     play.run_traffic(6.0)
-    copy = play.rig.rows.copy()
-    play.rig.rows.put("configuration", "drained/north", b"{}")
+    copy = play.harness.rows.copy()
+    play.harness.rows.put("configuration", "drained/north", b"{}")
     play.run_traffic(1.0)
     before = len(play.endpoints[0].requests)
-    play.rig.rows.go_back(copy)
+    play.harness.rows.go_back(copy)
     play.run_traffic(12.0)
     assert len(play.endpoints[0].requests) > before
 
@@ -125,13 +125,13 @@
 def test_router_that_started_in_the_lost_seconds_is_a_member_after_the_return():
     play = RollbackSimulation(gateways=2)
     play.run_traffic(6.0)
-    play.rig.gateway()
+    play.harness.gateway()
     play.run_traffic(2.0)
     play.go_back(5.0)
     play.run_traffic(3.0)
-    rows = play.rig.rows.table(MEMBERS_TABLE, "")
+    rows = play.harness.rows.table(MEMBERS_TABLE, "")
     addresses = {decode_member(row.value).address for row in rows}
-    assert addresses == {gateway.peers_address for gateway in play.rig.gateways}
+    assert addresses == {gateway.peers_address for gateway in play.harness.gateways}
 
 
 def test_return_is_told_once_by_each_router():
@@ -139,8 +139,8 @@
     play.run_traffic(6.0)
     play.go_back(5.0)
     play.run_traffic(3.0)
-    for log in play.rig.logs:
-        assert [line["era"] for line in log.of("store.returned")] == [1]
+    for log in play.harness.logs:
+        assert [line["era"] for line in log.with_event("store.returned")] == [1]
 
 
 @pytest.mark.parametrize("age_s", [0.5, 2.0, 5.0, 10.0])
@@ -148,10 +148,10 @@
     """A feed was refused and asked again at once, hundreds of times a second."""
     play = RollbackSimulation(gateways=3)
     play.run_traffic(12.0)
-    usual = play.rig.rows.calls
+    usual = play.harness.rows.calls
     play.run_traffic(5.0)
-    usual = play.rig.rows.calls - usual
+    usual = play.harness.rows.calls - usual
     play.go_back(age_s)
-    before = play.rig.rows.calls
+    before = play.harness.rows.calls
     play.run_traffic(5.0)
-    assert play.rig.rows.calls - before <= 2 * usual + 10 * len(play.rig.gateways)
+    assert play.harness.rows.calls - before <= 2 * usual + 10 * len(play.harness.gateways)
--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -21,7 +21,7 @@
 from turnward.gateway import Repeat, Workspace
 from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.restoring import AccountRestorer
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, stream
+from turnward.gateway.tests.harness import ENGINE_POOL, KEY, stream_events
 from turnward.gateway.tests.rollback_simulation import RollbackSimulation
 
 PROMPT_TOKENS = 2_000
@@ -36,7 +36,7 @@
         workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
         super().__init__(
             gateways,
-            behave=stream(4),
+            behave=stream_events(4),
             pools=(ENGINE_POOL,),
             workspaces=(workspace,),
             repeat=Repeat.STREAM,
@@ -47,7 +47,7 @@
 
     def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
         """Ask for runs for a while."""
-        headers = self.rig.prompt(PROMPT_TOKENS, 20)
+        headers = self.harness.prompt(PROMPT_TOKENS, 20)
         super().run_traffic(seconds, pause_s, method=b"POST", body=b"", headers=headers, **fields)
 
     @property
@@ -57,29 +57,29 @@
 
     def up(self) -> list[int]:
         """See ``RollbackSimulation.up``; of several processes of a machine the last one runs."""
-        last = {machine: number for number, machine in enumerate(self.rig.machines)}
+        last = {machine: number for number, machine in enumerate(self.harness.machines)}
         return [number for machine, number in last.items() if machine not in self._down]
 
     def restart(self, index: int, after_s: float) -> None:
         """Kill a gateway's process; another starts on its machine after a while."""
-        machine = self.rig.machines[index]
-        if machine in self._down or machine in self.rig.machines[index + 1 :]:
+        machine = self.harness.machines[index]
+        if machine in self._down or machine in self.harness.machines[index + 1 :]:
             return
         machine.kill()
         self._down.append(machine)
-        self.rig.network.clock.callLater(after_s, self._start, machine, index)
+        self.harness.network.clock.callLater(after_s, self._start, machine, index)
 
     def _start(self, machine, index: int) -> None:
         machine.restart()
         self._down.remove(machine)
-        self.rig.run_gateway(machine, self.rig.gateways[index]._settings.node)
+        self.harness.run_gateway(machine, self.harness.gateways[index]._settings.node)
 
 
 @pytest.mark.parametrize("age_s", [1.0, 3.0, 5.0, 8.0])
 @pytest.mark.parametrize("gateways", [2, 7])
 def test_limit_holds_after_a_rollback(gateways, age_s):
     play = TokenPlay(gateways, prepaid=250_000)
-    play.rig.network.advance(1.0)
+    play.harness.network.advance(1.0)
     play.run_traffic(9.0, 1 / 8)
     play.go_back(age_s)
     play.run_traffic(12.0)
@@ -90,25 +90,25 @@
     """Play returns, deaths and cuts, and ask for more than there is."""
     draw = random.Random(seed)
     play = TokenPlay(draw.choice((2, 4, 7)), prepaid=draw.choice((150_000, 250_000, 600_000)))
-    play.rig.network.advance(draw.uniform(0.2, 2.0))
+    play.harness.network.advance(draw.uniform(0.2, 2.0))
     for _ in range(draw.randint(2, 4)):
         play.run_traffic(draw.uniform(0.5, 6.0), 1 / draw.uniform(4.0, 25.0))
         drawn = draw.random()
         if drawn < 0.5:
             if draw.random() < 0.4:
-                play.restart(draw.randrange(len(play.rig.machines)), draw.uniform(0.3, 3.0))
+                play.restart(draw.randrange(len(play.harness.machines)), draw.uniform(0.3, 3.0))
             play.go_back(draw.uniform(0.5, 10.0), draw.choice((0.1, 0.6, 2.5)))
         elif drawn < 0.8:
-            play.restart(draw.randrange(len(play.rig.machines)), draw.uniform(0.3, 3.0))
+            play.restart(draw.randrange(len(play.harness.machines)), draw.uniform(0.3, 3.0))
         else:
-            cut = draw.choice(play.rig.clients)
+            cut = draw.choice(play.harness.clients)
             cut.faults.away = True
             heal = partial(setattr, cut.faults, "away", False)
-            play.rig.network.clock.callLater(draw.uniform(0.5, 5.0), heal)
+            play.harness.network.clock.callLater(draw.uniform(0.5, 5.0), heal)
         if draw.random() < 0.3:
-            play.rig.rows.faults.late_share = 0.2
-            play.rig.rows.faults.lost_share = 0.2
-    play.rig.rows.faults.late_share = play.rig.rows.faults.lost_share = 0.0
+            play.harness.rows.faults.late_share = 0.2
+            play.harness.rows.faults.lost_share = 0.2
+    play.harness.rows.faults.late_share = play.harness.rows.faults.lost_share = 0.0
     play.run_traffic(10.0, 0.05)
     return play
 
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("gateways", [2, 7])
 def test_callers_are_served_during_a_rollback(gateways):
     play = TokenPlay(gateways, prepaid=5_000_000)
-    play.rig.network.advance(1.0)
+    play.harness.network.advance(1.0)
     play.run_traffic(8.0)
     play.go_back(6.0)
     play.run_traffic(6.0)
@@ -132,12 +132,12 @@
 def unclaimed_play() -> TokenPlay:
     """Let a router die right after it took tokens that the store then loses."""
     play = TokenPlay(2, prepaid=250_000)
-    play.rig.network.advance(1.0)
+    play.harness.network.advance(1.0)
     play.run_traffic(9.0, 1 / 8)
-    taken = len(play.rig.logs[0].of("prepaid.taken"))
-    while len(play.rig.logs[0].of("prepaid.taken")) == taken:
+    taken = len(play.harness.logs[0].with_event("prepaid.taken"))
+    while len(play.harness.logs[0].with_event("prepaid.taken")) == taken:
         play.run_traffic(0.05, 0.05)
-    play.rig.network.advance(0.05)
+    play.harness.network.advance(0.05)
     play.restart(0, after_s=60.0)
     play.go_back(8.0)
     play.run_traffic(12.0)
@@ -148,7 +148,9 @@
     """A router that died with the lost seconds had told the others what its row said."""
     play = unclaimed_play()
     assert play.used_tokens <= play.prepaid
-    assert [line["unattributed"] > 0 for line in play.rig.logs[1].of("prepaid.restored")] == [True]
+    assert [
+        line["unattributed"] > 0 for line in play.harness.logs[1].with_event("prepaid.restored")
+    ] == [True]
 
 
 def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -9,122 +9,122 @@
 
 from turnward.gateway import Configuration, EndpointPool, FleetState, WarmUpTraits
 from turnward.gateway.sources import ConfigurationListener
-from turnward.gateway.tests.rig import Rig, reset, stream, well
+from turnward.gateway.tests.harness import Harness, abort_connection, answer_ok, stream_events
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 from turnward.rows import RowKey, StoredRow, TableChanges
 
 TABLE = "configuration"
 
 
-def order(rig, zone, drained=True):
+def order(harness, zone, drained=True):
     """Give or take back an order."""
     if drained:
-        rig.rows.put(TABLE, f"drained/{zone}", b"{}")
+        harness.rows.put(TABLE, f"drained/{zone}", b"{}")
     else:
-        rig.rows.remove(TABLE, f"drained/{zone}")
+        harness.rows.remove(TABLE, f"drained/{zone}")
 
 
-def two_zones(rig, behave=well):
+def two_zones(harness, behave=answer_ok):
     """Return an endpoint in each of two zones."""
     pair = []
     for zone in ("north", "south"):
-        endpoint = rig.endpoint(behave, announce=False)
-        rig.announce(endpoint, zone=zone)
+        endpoint = harness.endpoint(behave, announce=False)
+        harness.announce(endpoint, zone=zone)
         pair.append(endpoint)
     return pair
 
 
-def served_by(rig, endpoint, gateways=(0,), count=10):
+def served_by(harness, endpoint, gateways=(0,), count=10):
     """Return how many of some requests an endpoint gets."""
     before = len(endpoint.requests)
     for number in range(count):
-        assert rig.ask(gateways[number % len(gateways)]).status == 200
+        assert harness.ask(gateways[number % len(gateways)]).status == 200
     return len(endpoint.requests) - before
 
 
 def test_drained_zone_gets_nothing_until_the_order_is_withdrawn():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready()
-    assert served_by(rig, north)
-    order(rig, "north")
-    rig.network.advance(0.5)
-    assert not served_by(rig, north)
-    order(rig, "north", drained=False)
-    rig.network.advance(0.5)
-    assert served_by(rig, north)
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready()
+    assert served_by(harness, north)
+    order(harness, "north")
+    harness.network.advance(0.5)
+    assert not served_by(harness, north)
+    order(harness, "north", drained=False)
+    harness.network.advance(0.5)
+    assert served_by(harness, north)
 
 
 def test_request_is_refused_as_not_run_when_all_zones_are_drained():
-    rig = Rig()
-    two_zones(rig)
-    rig.ready()
-    order(rig, "north")
-    order(rig, "south")
-    rig.network.advance(0.5)
-    refused = rig.ask()
+    harness = Harness()
+    two_zones(harness)
+    harness.ready()
+    order(harness, "north")
+    order(harness, "south")
+    harness.network.advance(0.5)
+    refused = harness.ask()
     assert refused.status == 503
     assert refused.header(b"retry-after")
 
 
 def test_retries_and_resumed_streams_avoid_a_drained_zone():
-    rig = Rig(repeat="stream", resumable=True)
-    north, south = two_zones(rig, stream(4, upto=2, then=reset))
-    rig.ready()
-    order(rig, "north")
-    rig.network.advance(0.5)
+    harness = Harness(repeat="stream", resumable=True)
+    north, south = two_zones(harness, stream_events(4, up_to=2, then=abort_connection))
+    harness.ready()
+    order(harness, "north")
+    harness.network.advance(0.5)
     for _ in range(4):
-        rig.ask()
+        harness.ask()
     assert south.requests
     assert not north.requests
 
 
 def test_endpoints_of_a_restored_zone_count_as_cold():
-    rig = Rig(
+    harness = Harness(
         pools=[EndpointPool(name="pool", warm_up=WarmUpTraits(cold_s=2.0, requests_per_s=1.0))]
     )
-    north, _ = two_zones(rig)
-    rig.ready()
-    rig.network.advance(1.0)
-    order(rig, "north")
-    rig.network.advance(0.5)
-    order(rig, "north", drained=False)
-    rig.network.advance(0.1)
-    assert served_by(rig, north) <= 1
-    rig.network.advance(4.0)
-    assert served_by(rig, north)
+    north, _ = two_zones(harness)
+    harness.ready()
+    harness.network.advance(1.0)
+    order(harness, "north")
+    harness.network.advance(0.5)
+    order(harness, "north", drained=False)
+    harness.network.advance(0.1)
+    assert served_by(harness, north) <= 1
+    harness.network.advance(4.0)
+    assert served_by(harness, north)
 
 
 def test_order_survives_a_router_restart_and_a_store_outage():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready()
-    order(rig, "north")
-    rig.network.advance(0.5)
-    rig.clients[0].faults.away = True
-    rig.network.advance(10.0)
-    assert not served_by(rig, north)
-    rig.clients[0].faults.away = False
-    rig.network.advance(3.0)
-    rig.machines[0].kill()
-    rig.machines[0].restart()
-    rig.gateways[0] = rig.run_gateway(rig.machines[0], "node-1")
-    assert rig.network.advance_until(lambda: rig.gateways[0].ready)
-    assert not served_by(rig, north)
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready()
+    order(harness, "north")
+    harness.network.advance(0.5)
+    harness.clients[0].faults.away = True
+    harness.network.advance(10.0)
+    assert not served_by(harness, north)
+    harness.clients[0].faults.away = False
+    harness.network.advance(3.0)
+    harness.machines[0].kill()
+    harness.machines[0].restart()
+    harness.gateways[0] = harness.run_gateway(harness.machines[0], "node-1")
+    assert harness.network.advance_until(lambda: harness.gateways[0].ready)
+    assert not served_by(harness, north)
 
 
 def test_router_cut_off_from_the_store_gets_orders_from_peers():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready(gateways=3)
-    rig.network.advance(1.0)
-    rig.clients[2].faults.away = True
-    order(rig, "north")
-    rig.network.advance(1.0)
-    assert not served_by(rig, north, gateways=(2,))
-    order(rig, "north", drained=False)
-    rig.network.advance(1.0)
-    assert served_by(rig, north, gateways=(2,))
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready(gateways=3)
+    harness.network.advance(1.0)
+    harness.clients[2].faults.away = True
+    order(harness, "north")
+    harness.network.advance(1.0)
+    assert not served_by(harness, north, gateways=(2,))
+    order(harness, "north", drained=False)
+    harness.network.advance(1.0)
+    assert served_by(harness, north, gateways=(2,))
 
 
 def test_starting_router_is_incomplete_until_orders_are_known():
