--- a/turnward/gateway/abandoned_runs.py
+++ b/turnward/gateway/abandoned_runs.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs that a router gave up shortly before their endpoint ended.
+"""Runs that a router cancelled shortly before their endpoint crashed.
 
-A caller that leaves, or whose time is up, takes its run's connection with it: the router then
-sees no loss there, though the run may be what ends the endpoint a moment later. Other connections
-to the endpoint tell that it has ended.
+When a caller disconnects or its deadline passes, the router closes the run's connection. If that
+run then crashes the endpoint, the router learns of the crash from another connection only, so
+recently cancelled runs are kept as possible causes.
 """
 
 from collections import deque
@@ -12,15 +12,22 @@
 
 __all__ = ["AbandonedRun", "AbandonedRuns"]
 
-#: Seconds after which an endpoint that ends does not do so because of a run that was given up:
-#: endpoints drop a run when its connection closes, and news of both may cross on a slow way.
-_LIFE_S = 1.0
-#: Most runs that are remembered of one endpoint; engines run up to 48 at a time.
-_LIMIT = 64
+#: Endpoints stop a run when its connection closes, so an older run cannot be the cause of a crash.
+_RETENTION_S = 1.0
+#: Bound per endpoint; engines run up to 48 requests at a time.
+_MAX_RUNS = 64
 
 
 class AbandonedRun(msgspec.Struct, frozen=True):
-    """A run that was given up: of which content, when it was sent and when given up."""
+    """A cancelled run.
+
+    Attributes
+    ----------
+    content : str
+        Fingerprint of the request's content.
+    sent_s, abandoned_s : float
+        When the request was sent and when it was cancelled.
+    """
 
     content: str
     sent_s: float
@@ -28,7 +35,7 @@
 
 
 class AbandonedRuns:
-    """The runs of one endpoint that were given up lately.
+    """The recently cancelled runs of one endpoint.
 
     Examples
     --------
@@ -41,14 +48,14 @@
     __slots__ = ("_runs",)
 
     def __init__(self):
-        self._runs: deque[AbandonedRun] = deque(maxlen=_LIMIT)
+        self._runs: deque[AbandonedRun] = deque(maxlen=_MAX_RUNS)
 
     def note(self, run: AbandonedRun) -> None:
-        """Remember a run for a while."""
+        """Add a cancelled run."""
         self._runs.append(run)
 
     def take(self, now_s: float) -> list[AbandonedRun]:
-        """Return the runs that may have ended the endpoint, and forget all."""
-        taken = [run for run in self._runs if now_s - run.abandoned_s <= _LIFE_S]
+        """Return the runs that may have crashed the endpoint, and clear the list."""
+        taken = [run for run in self._runs if now_s - run.abandoned_s <= _RETENTION_S]
         self._runs.clear()
         return taken
