--- a/turnward/gateway/dialect.py
+++ b/turnward/gateway/dialect.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The names that requests and answers carry on the wire."""
+"""Header names and other protocol names of a deployment."""
 
 import msgspec
 
@@ -7,41 +7,41 @@
 
 
 class Dialect(msgspec.Struct, frozen=True, kw_only=True):
-    """Header names in lower case; the defaults are the product's own.
+    """Protocol names; header names are in lower case.
 
     Attributes
     ----------
     request_id : bytes
-        Carried unchanged to the endpoint, and back on its answer.
+        Request id; forwarded unchanged and returned with the response.
     deadline_ms : bytes
-        Milliseconds that the sender waits.
+        Milliseconds that the sender waits for the response.
     key_scheme : bytes
-        Scheme of ``Authorization`` before the key.
+        Scheme of the ``Authorization`` header that carries the key.
     workspace : bytes
-        Set by the gateway for the endpoint; never taken from callers.
+        Name of the workspace; set by the gateway and removed from callers' requests.
     expected_endpoint : bytes
-        The id of the endpoint meant; any other answers 421.
+        Id of the endpoint that the request is meant for; any other responds with 421.
     not_run : bytes
-        On an answer: the endpoint did not run the request.
+        In a response: the endpoint did not run the request.
     answer_seal : bytes
-        On an answer: an endpoint made it.
-    leaving : bytes
-        On an answer, with the value 1: the endpoint ends soon and takes no new work.
-    limit : bytes
-        On an answer: the requests a second, a decimal number, that the endpoint takes from all
-        routers together, for as long as its answers say so.
+        In a response: it was produced by an endpoint.
+    draining : bytes
+        In a response, with the value 1: the endpoint is shutting down and accepts no new requests.
+    rate_limit : bytes
+        In a response: the requests per second, a decimal number, that the endpoint accepts from
+        all routers together, for as long as its responses carry the header.
     last_event_id : bytes
-        The last event that the sender has; the stream goes on behind it.
+        Id of the last event that the sender has received; the stream resumes after it.
     token_count : bytes
-        Tokens of the prompt and the most to be made, with a comma between.
+        Prompt tokens and maximum output tokens, separated by a comma.
     prompt_parts : bytes
-        Parts of the prompt as ID:TOKENS with commas between.
+        Parts of the prompt as comma-separated ID:TOKENS pairs.
     priority : bytes
-        Urgency that the gateway gives the endpoint; 0 comes first.
+        Priority set by the gateway, 0 (most urgent) to 9.
     reserved : frozenset of bytes
-        Further names that only the system may set.
+        Further headers that callers may not set.
     ready_path : str
-        Path that answers 200 while the process takes new connections.
+        Readiness path; responds with 200 while the process accepts new connections.
     """
 
     request_id: bytes = b"request-id"
@@ -62,7 +62,7 @@
 
     @property
     def never_forwarded(self) -> frozenset[bytes]:
-        """Names taken off a caller's request before it goes to an endpoint."""
+        """Headers removed from a caller's request before it is forwarded."""
         own = {
             self.deadline_ms,
             self.workspace,
