--- a/turnward/gateway/serving.py
+++ b/turnward/gateway/serving.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs a gateway on twisted's reactor until its planned stop is over."""
+"""Runs a gateway process on Twisted's reactor until it has shut down."""
 
 import signal
 import sys
@@ -24,20 +24,20 @@
     make_store: Callable[..., VersionedStoreBase],
     sources: SourcesBase,
 ) -> None:
-    """Serve until SIGTERM; SIGHUP reads the settings file again.
+    """Serve until SIGTERM; reload the settings file on SIGHUP.
 
     Parameters
     ----------
     path : str
         The settings file.
     settings : GatewaySettings
-        What was read from it.
+        The settings read from the file.
     dialect : Dialect
-        Names on the wire.
+        Protocol names.
     make_store : callable
-        Given the reactor, the store's address and the metrics, returns the store.
+        Called with the reactor, the store's address and the metrics; returns the store client.
     sources : SourcesBase
-        Where configuration and endpoints come from.
+        Sources of the configuration and the endpoints.
     """
     reactor = install_steady_reactor()
     incarnation = new_incarnation(settings.node)
