--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -67,7 +67,7 @@
         owner = self._owner
         now_s = owner.forwarder.reactor.seconds()
         record = self.record
-        kept = record.kept_tokens(owner.prompt, now_s)
+        kept = record.cached_tokens(owner.prompt, now_s)
         self._prefill_tokens = max(0, owner.prompt.tokens - kept)
         record.in_flight += 1
         record.opening += 1
@@ -183,7 +183,7 @@
             return
         self.record.availability.accepted(self.sent_s)
         if status < 300:
-            owner.forwarder.endpoints.note_answer(self.record, self.sent_s, headers)
+            owner.forwarder.endpoints.note_success(self.record, self.sent_s, headers)
         if owner.head_sent:
             return
         if self._splitter is None or status != 200:
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -96,7 +96,7 @@
 
     Attributes
     ----------
-    kept_tokens : int
+    cached_tokens : int
         Tokens of the prompt that own requests have read there lately.
     queue_ms : float
         How long an engine will read what is queued there, as far as is known; 0 on plain services.
@@ -105,7 +105,7 @@
     record: EndpointRecord
     cost_ms: float
     candidates: int
-    kept_tokens: int
+    cached_tokens: int
     queue_ms: float = 0.0
 
 
@@ -300,7 +300,7 @@
         if self._limits.name(record.incarnation, word.limit_per_s):
             self.on_rate_limit(record, word.limit_per_s, headers)
 
-    def note_answer(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
+    def note_success(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
         """Take in the head of a success; one that names no rate limit may lift it.
 
         Failures lift none: they may be made before the endpoint has its say.
@@ -392,7 +392,7 @@
         allowance = self._shares.allowance(record.endpoint_id, traits.requests_per_s)
         return record.warm_up.permits(allowance)
 
-    def cold_ids(self) -> list[str]:
+    def cold_incarnations(self) -> list[str]:
         """Return the incarnations of endpoints that are cold."""
         return [
             incarnation
@@ -449,7 +449,7 @@
         else:
             costs = self._engine_costs(pool, prompt, candidates, loads, now_s, pause_target_s)
         cost_ms, record = min(costs, key=lambda cost: cost[0] + self._draw.random() * _TIE_MS)
-        kept = record.kept_tokens(prompt, now_s)
+        kept = record.cached_tokens(prompt, now_s)
         record.warm_up.note_sent()
         chosen = EndpointChoice(record, round(cost_ms, 1), len(candidates), kept)
         if traits is None:
@@ -525,7 +525,7 @@
         if load is not None:
             running += load.requests
             backlog += load.prefill_tokens
-        kept = record.kept_tokens(prompt, now_s)
+        kept = record.cached_tokens(prompt, now_s)
         if record.endpoint_id in preferred_endpoints:
             kept = max(kept, int(_HOME_TRUST * prompt.shared_tokens))
         unread = max(0, prompt.tokens - kept)
--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -113,7 +113,7 @@
         while len(self._parts) > _PARTS_LIMIT:
             self._parts.popitem(last=False)
 
-    def kept_tokens(self, prompt: Prompt, now_s: float) -> int:
+    def cached_tokens(self, prompt: Prompt, now_s: float) -> int:
         """Return how many of a prompt's tokens own requests have read there."""
         kept = 0
         for part in prompt.parts:
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -376,7 +376,7 @@
             queue_ms=choice.queue_ms,
             in_flight=record.in_flight,
             prompt_tokens=self._prompt.tokens,
-            kept_tokens=choice.kept_tokens,
+            kept_tokens=choice.cached_tokens,
             endpoints=forwarder.state.endpoints_version,
             left_s=round(self._deadline_s - self._now_s(), 3),
         )
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -546,7 +546,7 @@
             source=source,
             endpoints=len(entries),
             leaving=[entry.incarnation for entry in entries if entry.leaving],
-            cold=self.endpoints.cold_ids(),
+            cold=self.endpoints.cold_incarnations(),
         )
 
     def _zone_orders_changed(self, source: str) -> None:
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -155,8 +155,8 @@
     for number in range(5_000):
         record.remember(prompt(f"{number:x}"), world.now_s)
     assert len(record._parts) <= 1_500
-    assert record.kept_tokens(prompt(f"{4_999:x}"), world.now_s) == 5_000
-    assert record.kept_tokens(prompt(f"{4_999:x}"), world.now_s + 60.0) == 0
+    assert record.cached_tokens(prompt(f"{4_999:x}"), world.now_s) == 5_000
+    assert record.cached_tokens(prompt(f"{4_999:x}"), world.now_s + 60.0) == 0
 
 
 def ids_chosen(world, times=20):
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -35,7 +35,7 @@
     assert new is not old
     assert (new.in_flight, new.availability.failures, new.availability.lost) == (0, 0, False)
     assert new.availability.suspected_for_s(world.now_s) == 0.0
-    assert new.kept_tokens(wanted, world.now_s) == 0
+    assert new.cached_tokens(wanted, world.now_s) == 0
     assert old.pool.closed
     assert world.choose(omit={"e-1@1000"}) is new
 
