--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -52,7 +52,7 @@
         self._dialect = dialect
         self._metrics = metrics
         self._log = log
-        self.words = FeedbackExchange(clock, self.handle_peer_feedback)
+        self.feedback_exchange = FeedbackExchange(clock, self.handle_peer_feedback)
 
     def report_speed_class(self, record: EndpointRecord, pace: EventGaps, usual: EventGaps) -> None:
         """Tell of an engine that is faster or slower than it was, beside the others of its pool."""
@@ -72,7 +72,7 @@
         """Tell of what an endpoint said in an answer."""
         availability = record.availability
         rest_s = availability.backoff_left_s(self._clock())
-        self.words.note(record.incarnation, availability.draining, rest_s)
+        self.feedback_exchange.note(record.incarnation, availability.draining, rest_s)
         self._metrics.endpoint_words.labels(record.entry.pool, hold).inc()
         request_id = header_value(answer_headers, self._dialect.request_id) or b""
         self._log.belief(
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -200,7 +200,7 @@
             self._limits,
         )
         news = EndpointReporter(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
-        self._word_news = news.words
+        self._word_news = news.feedback_exchange
         self._limits.on_peer_limit = news.report_peer_rate_limit
         self.endpoints.on_speed_class = news.report_speed_class
         self.endpoints.on_feedback = news.report_feedback
--- a/turnward/gateway/removed_endpoints.py
+++ b/turnward/gateway/removed_endpoints.py
@@ -27,7 +27,7 @@
     >>> entry = EndpointEntry(endpoint_id="e", pool="p", address="10.0.0.1:80")
     >>> departures = Departures()
     >>> departures.note({"e": entry}, {}, now_s=10.0)
-    >>> departures.begin_return(12.0)
+    >>> departures.begin_rollback_recovery(12.0)
     >>> departures.mark_draining({"e": entry}, now_s=13.0)["e"].leaving
     True
     >>> departures.mark_draining({"e": entry}, now_s=18.0)["e"].leaving
@@ -41,7 +41,7 @@
         self._left_s: dict[str, float] = {}
         self._held_until_s = 0.0
 
-    def note(
+    def record_view(
         self, before: dict[str, EndpointEntry], after: dict[str, EndpointEntry], now_s: float
     ) -> None:
         """Take in a view of the endpoints that follows another."""
@@ -56,7 +56,7 @@
             name: left_s for name, left_s in self._left_s.items() if now_s - left_s < _REMEMBERED_S
         }
 
-    def begin_return(self, now_s: float) -> None:
+    def begin_rollback_recovery(self, now_s: float) -> None:
         """Note that the store came back from a copy."""
         self._held_until_s = now_s + REWRITE_PERIOD_S
 
@@ -65,7 +65,7 @@
         for entry in entries:
             self._left_s.pop(entry.incarnation, None)
 
-    def clear_return(self) -> None:
+    def end_rollback_recovery(self) -> None:
         """Note that all has been written anew."""
         self._held_until_s = 0.0
 
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -162,13 +162,13 @@
             return False
         now_s = self._clock()
         if known and snapshot.era > known.era:
-            self._departures.begin_return(now_s)
+            self._departures.begin_rollback_recovery(now_s)
         if settled:
-            self._departures.clear_return()
+            self._departures.end_rollback_recovery()
         entries = {entry.endpoint_id: self._newer(entry) for entry in snapshot.entries}
         self._departures.mark_rewritten(entries[name] for name in written if name in entries)
         entries = self._departures.mark_draining(entries, now_s)
-        self._departures.note(self.endpoints, entries, now_s)
+        self._departures.record_view(self.endpoints, entries, now_s)
         changed = entries != self.endpoints
         self.endpoints = entries
         self.endpoints_version = snapshot.as_of
