--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -416,7 +416,7 @@
     def _wait_for(self, record: EndpointRecord, now_s: float) -> PoolShortage:
         """Return how long an endpoint takes no work, and why."""
         limited = self._limits is not None and not self._is_within_limit(record)
-        limited_for_s = self._limits.callers_wait_s(record.incarnation) if limited else 0.0
+        limited_for_s = self._limits.fleet_wait_s(record.incarnation) if limited else 0.0
         waits = (
             PoolShortage(Reason.ENDPOINTS_BACKING_OFF, record.availability.backoff_left_s(now_s)),
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -68,7 +68,7 @@
             return 0.0
         return limit.opens_in_s(self._share(incarnation, limit.per_s), self._clock())
 
-    def callers_wait_s(self, incarnation: str) -> float:
+    def fleet_wait_s(self, incarnation: str) -> float:
         """Return after which time a caller may be served there, by whichever router.
 
         A router without a part waits long; its callers may come to one that holds a part.
