--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -49,7 +49,7 @@
     assert header_value(request.headers, DIALECT.expected_endpoint) == b"e-1"
 
 
-def test_deadline_is_what_is_left_of_the_shorter_limit():
+def test_endpoint_gets_remaining_time_of_shorter_limit():
     harness = Harness(time_limit_s=2.0)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
@@ -71,7 +71,7 @@
     assert harness.ask(key=None).status == 401
 
 
-def test_unknown_route_and_key_are_not_the_callers_fault_while_cut_off():
+def test_unknown_route_and_key_get_503_while_configuration_is_stale():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
@@ -84,7 +84,7 @@
     assert harness.ask().status == 200
 
 
-def test_process_without_configuration_is_not_ready_and_promises_not_run():
+def test_process_without_configuration_is_not_ready_and_refuses():
     harness = Harness()
     harness.gateway()
     harness.network.advance(1.0)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("repeat", [Repeat.ANY, Repeat.ONCE, Repeat.STREAM])
-def test_refusal_of_a_full_endpoint_is_passed_on_as_a_promise(repeat):
+def test_refusal_by_full_endpoint_is_reported_as_not_run(repeat):
     harness = Harness(repeat=repeat, attempts=1)
     harness.endpoint(answer_not_run)
     harness.ready()
@@ -119,7 +119,7 @@
     "behave",
     [abort_connection, raw_answer(b"nonsense\r\n\r\n"), raw_answer(b"HTTP/1.1 200 OK\r\n")],
 )
-def test_request_that_must_not_run_twice_is_sent_once_and_its_end_is_unknown(behave):
+def test_request_that_must_not_run_twice_is_sent_once(behave):
     harness = Harness(repeat=Repeat.ONCE, attempts=3, time_limit_s=1.0)
     for _ in range(3):
         harness.endpoint(behave)
@@ -138,7 +138,7 @@
     assert [harness.ask().status for _ in range(6)] == [200] * 6
 
 
-def test_no_repeat_is_used_up_where_no_other_endpoint_is_there():
+def test_retry_budget_is_not_charged_without_another_endpoint():
     harness = Harness(repeat=Repeat.ANY, attempts=3)
     harness.endpoint(abort_connection)
     harness.ready()
@@ -147,7 +147,7 @@
     assert not harness.gateways[0].forwarder.retry_budget("pool")._repeats
 
 
-def test_error_of_the_only_endpoint_is_passed_on_as_it_is():
+def test_error_of_only_endpoint_is_forwarded_unchanged():
     def fail(endpoint, request):
         request.answer(500, answer_head(request), b"own words")
 
@@ -158,7 +158,7 @@
     assert (caller.status, caller.body) == (500, b"own words")
 
 
-def test_attempts_bound_the_endpoints_of_a_request():
+def test_attempts_setting_limits_endpoints_per_request():
     harness = Harness(repeat=Repeat.ANY, attempts=2)
     for _ in range(4):
         harness.endpoint(abort_connection)
@@ -167,7 +167,7 @@
     assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 2
 
 
-def test_dead_endpoints_are_passed_over_without_a_send():
+def test_unreachable_endpoints_are_skipped_without_sending():
     harness = Harness(repeat=Repeat.ONCE, attempts=1)
     dead = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.endpoint(answer_ok)
@@ -177,7 +177,7 @@
     assert [harness.ask(method=b"POST", body=b"x").status for _ in range(5)] == [200] * 5
 
 
-def test_error_of_an_endpoint_is_tried_elsewhere_and_passed_on_in_the_end():
+def test_endpoint_error_is_retried_then_forwarded():
     def fails(endpoint, request):
         request.answer(500, answer_head(request, endpoint.endpoint_id.encode()), b"broken")
 
@@ -190,7 +190,7 @@
     assert sorted(len(endpoint.requests) for endpoint in harness.endpoints) == [1, 1]
 
 
-def test_answer_without_a_seal_is_not_passed_on():
+def test_response_without_seal_is_not_forwarded():
     harness = Harness(repeat=Repeat.ONCE)
     harness.endpoint(
         raw_answer(b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nContent-Length: 2\r\n\r\nno")
@@ -199,7 +199,7 @@
     assert harness.ask(method=b"POST", body=b"").status == 502
 
 
-def test_status_that_promises_not_run_is_not_passed_on_for_a_request_that_may_have_run():
+def test_not_run_status_is_not_forwarded_for_request_that_may_have_run():
     def busy(endpoint, request):
         request.answer(503, answer_head(request), b"later")
 
@@ -211,7 +211,7 @@
     assert caller.header(b"answer-seal") is None
 
 
-def test_answer_with_an_encoding_nobody_asked_for_is_not_passed_on():
+def test_response_with_unrequested_encoding_is_not_forwarded():
     harness = Harness(repeat=Repeat.ONCE)
     harness.endpoint(
         raw_answer(
@@ -227,7 +227,7 @@
 OTHER = b"HTTP/1.1 200 OK\r\nRequest-Id: else\r\nAnswer-Seal: s\r\nContent-Length: 3\r\n\r\nbad"
 
 
-def test_late_answer_to_an_earlier_request_is_skipped():
+def test_late_response_to_earlier_request_is_skipped():
     harness = Harness(repeat=Repeat.ONCE)
     harness.endpoint(raw_answer(OTHER + GOOD))
     harness.ready()
@@ -235,7 +235,7 @@
     assert (caller.status, caller.body) == (200, b"good")
 
 
-def test_extra_answer_ends_the_connection_it_came_on():
+def test_extra_response_closes_its_connection():
     harness = Harness(repeat=Repeat.ONCE)
     endpoint = harness.endpoint(raw_answer(GOOD + GOOD.replace(b"good", b"evil")))
     harness.ready()
@@ -244,7 +244,7 @@
     assert len({id(request._connection) for request in endpoint.requests}) == 4
 
 
-def test_extra_answer_that_comes_later_ends_the_connection():
+def test_late_extra_response_closes_its_connection():
     def behave(endpoint, request):
         raw_answer(GOOD)(endpoint, request)
         endpoint.machine.callLater(0.1, raw_answer(OTHER), endpoint, request)
@@ -258,7 +258,7 @@
     assert harness.ask(method=b"POST", body=b"").body == b"good"
 
 
-def test_plain_answer_cut_short_is_never_continued_from_another_endpoint():
+def test_truncated_response_is_never_continued_from_another_endpoint():
     def cut(endpoint, request):
         request.start(200, answer_head(request, b"first"), None)
         request.write(b"half")
@@ -280,7 +280,7 @@
 
 
 @pytest.mark.parametrize("how", ["loseConnection", "abortConnection"])
-def test_answer_without_length_is_whole_only_when_its_connection_ends_well(how):
+def test_response_without_length_is_complete_only_after_clean_close(how):
     def behave(endpoint, request):
         raw_answer(UNFRAMED)(endpoint, request)
         endpoint.machine.callLater(0.05, getattr(request._connection.transport, how))
@@ -295,7 +295,7 @@
         assert caller.status == 502
 
 
-def test_caller_that_leaves_frees_the_endpoint_at_once():
+def test_caller_disconnect_cancels_request_at_endpoint():
     harness = Harness()
     endpoint = harness.endpoint(never_answer)
     harness.ready()
@@ -307,7 +307,7 @@
     assert not harness.gateways[0].forwarder.open_requests
 
 
-def test_time_limit_is_answered_in_time():
+def test_time_limit_is_enforced():
     harness = Harness(time_limit_s=1.0)
     harness.endpoint(never_answer)
     harness.ready()
@@ -318,7 +318,7 @@
     assert (caller.status, reason(caller)) == (504, "time_limit")
 
 
-def test_pipelined_requests_are_answered_in_order_with_their_own_answers():
+def test_pipelined_requests_get_their_responses_in_order():
     def echo(endpoint, request):
         delay_s = 0.2 if request.target.endswith(b"slow") else 0.0
         endpoint.machine.callLater(delay_s, answer_ok, endpoint, request, request.target)
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.parametrize("header", [b"Request-Id", b"Host"])
-def test_doubled_identity_headers_are_refused(header):
+def test_duplicate_identity_headers_are_refused(header):
     harness = Harness()
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
@@ -370,7 +370,7 @@
     assert endpoint.requests == []
 
 
-def test_body_in_chunks_arrives_whole():
+def test_chunked_body_arrives_complete():
     harness = Harness()
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
@@ -384,7 +384,7 @@
     assert endpoint.bodies == [b"abcde"]
 
 
-def test_large_body_streams_and_a_slow_endpoint_holds_the_caller_back():
+def test_large_body_is_streamed_and_slow_endpoint_pauses_caller():
     def reads_nothing(endpoint, request):
         request.pause_body()
 
@@ -407,7 +407,7 @@
     assert caller.transport._under_way < held
 
 
-def test_slow_reader_holds_the_endpoint_back():
+def test_slow_caller_pauses_endpoint():
     harness = Harness(repeat=Repeat.STREAM, time_limit_s=60.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
@@ -438,7 +438,7 @@
     )
 
 
-def test_events_pass_as_they_come():
+def test_events_are_forwarded_as_they_arrive():
     def slowly(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 1))
@@ -455,7 +455,7 @@
     assert dechunk(caller.body) == (encode_events(1, 2), True)
 
 
-def test_broken_stream_goes_on_at_another_endpoint_where_it_may():
+def test_resumable_stream_continues_at_another_endpoint():
     harness = streaming(resumable=True)
     broken = harness.endpoint(
         stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
@@ -468,7 +468,7 @@
     assert broken.requests
 
 
-def test_half_an_event_is_never_joined_with_another_run():
+def test_partial_event_is_not_joined_with_another_run():
     def cut_inside(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 3)[:-4])
@@ -482,7 +482,7 @@
         assert dechunk(harness.ask(method=b"POST", body=b"p").body) == (encode_events(1, 5), True)
 
 
-def test_stream_that_may_not_be_resumed_is_cut_and_does_not_look_complete():
+def test_non_resumable_stream_is_aborted_and_does_not_look_complete():
     harness = streaming(resumable=False)
     for _ in range(2):
         harness.endpoint(
@@ -495,7 +495,7 @@
     assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 1
 
 
-def test_resumed_stream_that_starts_over_is_not_joined():
+def test_resumed_stream_that_restarts_is_rejected():
     def restarts(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 9))
@@ -532,7 +532,7 @@
 # Endpoints that leave, and addresses that are used again.
 
 
-def test_leaving_endpoint_gets_no_new_work():
+def test_draining_endpoint_gets_no_new_requests():
     harness = Harness()
     leaving = harness.endpoint(answer_ok)
     harness.endpoint(answer_ok)
@@ -544,7 +544,7 @@
     assert len(leaving.requests) == before
 
 
-def test_address_that_now_is_another_endpoints_runs_nothing():
+def test_request_is_not_run_at_reassigned_address():
     harness = Harness(repeat=Repeat.ONCE, attempts=1)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
@@ -556,7 +556,7 @@
 # Configuration.
 
 
-def test_configuration_is_in_force_at_once_and_never_goes_back():
+def test_configuration_applies_at_once_and_never_reverts():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
@@ -569,7 +569,7 @@
     assert harness.ask(path=b"/b/x").status == 200
 
 
-def test_key_taken_away_is_refused_at_a_gateway_that_the_store_turns_away():
+def test_removed_key_is_refused_by_gateway_without_store():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready(gateways=2)
@@ -583,7 +583,7 @@
     assert harness.ask(gateway=1, key=b"other").status == 200
 
 
-def test_forgotten_history_is_read_anew():
+def test_table_is_reread_after_history_loss():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
@@ -599,7 +599,7 @@
 # Planned stop.
 
 
-def test_planned_stop_serves_what_is_open_and_cuts_nothing():
+def test_planned_stop_completes_open_requests():
     harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
     harness.endpoint(lambda e, r: e.machine.callLater(2.0, answer_ok, e, r))
     harness.ready()
@@ -633,7 +633,7 @@
     assert caller.status == 502
 
 
-def test_request_that_comes_late_in_a_planned_stop_is_not_begun():
+def test_request_late_in_planned_stop_is_refused():
     harness = Harness(repeat=Repeat.STREAM, time_limit_s=20.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
@@ -665,7 +665,7 @@
     assert idle.closed is not None
 
 
-def test_fault_of_the_program_is_told_and_harms_no_other_request(monkeypatch):
+def test_internal_error_is_logged_and_affects_no_other_request(monkeypatch):
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
@@ -676,7 +676,7 @@
     assert harness.ask().status == 200
 
 
-def test_process_that_was_frozen_before_a_send_sends_nothing_late():
+def test_process_frozen_before_sending_sends_nothing_late():
     harness = Harness(repeat=Repeat.ONCE, time_limit_s=2.0)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
@@ -692,7 +692,7 @@
     assert (caller.status, reason(caller)) == (503, "time_limit")
 
 
-def test_endpoint_whose_address_has_another_process_is_met_once():
+def test_replaced_endpoint_is_tried_once():
     """One of 20 requests is refused; four when each took two to count, for a few seconds."""
     harness = Harness(attempts=1)
     endpoints = [harness.endpoint(answer_ok) for _ in range(2)]
--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -63,7 +63,7 @@
 
 @FUZZ
 @given(st.one_of(st.binary(max_size=200), LINES))
-def test_any_bytes_of_a_caller(data):
+def test_arbitrary_bytes_from_caller(data):
     harness = fresh(time_limit_s=2.0)
     caller = harness.connect()
     caller.transport.write(data + b"\r\n\r\n")
@@ -108,7 +108,7 @@
     st.one_of(st.binary(max_size=200), ANSWERS),
     st.sampled_from([Repeat.ANY, Repeat.ONCE, Repeat.STREAM]),
 )
-def test_any_bytes_of_an_endpoint(data, repeat):
+def test_arbitrary_bytes_from_endpoint(data, repeat):
     harness = Harness(repeat=repeat, time_limit_s=1.0, attempts=1)
     endpoint = harness.endpoint(raw_answer(data))
     harness.ready()
@@ -125,7 +125,7 @@
 
 @FUZZ
 @given(st.binary(max_size=300))
-def test_any_datagram_and_any_bytes_at_the_inner_ports(data):
+def test_arbitrary_bytes_at_internal_ports(data):
     harness = fresh()
     sender = harness.network.machine("10.7.7.7")
     sender.listenUDP(5, PeerExchange(lambda message: None, lambda host, layout: None))
--- a/turnward/gateway/tests/test_standalone.py
+++ b/turnward/gateway/tests/test_standalone.py
@@ -45,7 +45,7 @@
         return self.run(self.rows.transact(VersionedTransaction((change,))))
 
 
-def test_rows_are_written_under_a_condition():
+def test_row_writes_check_versions():
     world = World()
     version = world.write(b"one", 0)
     row = world.run(world.rows.read_row(KEY))
@@ -55,7 +55,7 @@
         world.write(b"three", version)
 
 
-def test_removed_row_is_gone_and_raises_the_version():
+def test_removed_row_is_reported_and_raises_version():
     world = World()
     key = RowKey("mine", "", "a")
     world.write(b"1", 0, key)
@@ -85,7 +85,7 @@
         (OutcomeUnknownError("lost"), RowOutcomeUnknownError),
     ],
 )
-def test_errors_of_the_table_are_turned(error, written):
+def test_table_errors_are_translated(error, written):
     world = World(Failing(error))
     with pytest.raises(written):
         world.write(b"x", 0)
@@ -93,7 +93,7 @@
         world.run(world.rows.read_row(KEY))
 
 
-def test_examples_are_good():
+def test_examples_are_valid():
     resources = load_gateway_resources(GOOD)
     assert {row[0].table for row in resources.rows()} == {"configuration", "endpoints"}
     assert load_gateway_settings("examples/gateway.toml").node == "gateway-1"
@@ -109,7 +109,7 @@
         (("[[endpoints]]", "[[endpoint]]"), "endpoint: expected one of"),
     ],
 )
-def test_faults_in_resources_are_named(change, told, tmp_path):
+def test_resource_errors_are_reported(change, told, tmp_path):
     with open(GOOD) as file:
         text = file.read()
     assert change[0] in text
@@ -120,13 +120,13 @@
     assert told in str(caught.value)
 
 
-def test_configuration_survives_its_row():
+def test_configuration_round_trips_through_its_row():
     configuration = load_gateway_resources(GOOD).configuration
     encoded = msgspec.json.encode(configuration)
     assert msgspec.json.decode(encoded, type=type(configuration)) == configuration
 
 
-def test_page_names_every_setting_and_figure():
+def test_page_names_every_setting_and_metric():
     page = Path("docs/operators/gateway.md").read_text()
     for key in GatewaySettings.__struct_fields__:
         assert f"`{key}`" in page
