--- a/turnward/gateway/standalone.py
+++ b/turnward/gateway/standalone.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The gateway in its own home: rows over the transactional table, resources from a file.
+"""Standalone gateway: rows stored in the transactional table, resources read from a file.
 
-The table has no feed and no clock, so changes are looked for, and a dead
-gateway's grants stay spent. Rows are never removed; a removed one is empty. So
-the sum of a table's row versions rises with each write, and every gateway
-reads the same number for the same rows.
+The table has no change feed, so changes are polled for, and no clock, so the grants of a crashed
+gateway stay spent. A removed row keeps its key with an empty value: the sum of the row versions
+then rises with every write and serves as the version of the whole table.
 """
 
 import base64
@@ -44,14 +43,13 @@
 ENDPOINTS_TABLE = "endpoints"
 CONFIGURATION_KEY = "all"
 ZONE_ORDER_PREFIX = "drained/"
-#: Seconds between two looks for changes.
 _POLL_S = 0.5
 _CONFIGURATION_WAIT_S = 2.0
 _ENDPOINTS_WAIT_S = 4.0
 
 
 class TableRows(VersionedStoreBase):
-    """Versioned rows in the transactional table.
+    """Versioned rows stored in the transactional table.
 
     Parameters
     ----------
@@ -66,20 +64,22 @@
         self._table = table
 
     def time_floor_s(self):
-        """See ``VersionedStoreBase.time_floor_s``; the table tells no time."""
+        """See ``VersionedStoreBase.time_floor_s``; the table has no clock."""
         return
 
     async def read_row(self, key):
         """See ``VersionedStoreBase.read_row``."""
-        rows = await self._read(self._table.read([_name(key)]))
-        row = rows.get(_name(key))
-        return _stored(key, row) if row is not None else StoredRow(key, b"", 0)
+        rows = await self._read(self._table.read([_row_name(key)]))
+        row = rows.get(_row_name(key))
+        return _stored_row(key, row) if row is not None else StoredRow(key, b"", 0)
 
     async def read_table(self, table, part=""):
         """See ``VersionedStoreBase.read_table``."""
-        prefix = _name(RowKey(table, part, ""))
+        prefix = _row_name(RowKey(table, part, ""))
         rows = await self._read(self._table.scan_all(prefix))
-        stored = tuple(_stored(RowKey(table, part, row.key[len(prefix) :]), row) for row in rows)
+        stored = tuple(
+            _stored_row(RowKey(table, part, row.key[len(prefix) :]), row) for row in rows
+        )
         version = sum(row.version for row in stored)
         return TableChanges(tuple(row for row in stored if not row.gone), version)
 
@@ -88,11 +88,11 @@
         checks = []
         writes = []
         for change in transaction.changes:
-            name = _name(change.key)
+            name = _row_name(change.key)
             version = change.expected_version
             checks.append(VersionIs(name, version) if version else Absent(name))
             writes.append(Put(name, {"value": base64.b64encode(change.value).decode()}))
-        writes.extend(Put(_name(key), {"value": None}) for key in transaction.removals)
+        writes.extend(Put(_row_name(key), {"value": None}) for key in transaction.removals)
         try:
             result = await self._table.transact(Transaction(tuple(checks), tuple(writes)))
         except OutcomeUnknownError as failure:
@@ -100,35 +100,35 @@
         except PlatformUnavailableError as failure:
             raise RowsUnavailableError(str(failure)) from failure
         if not isinstance(result, Committed):
-            raise VersionConflictError("a row had another version")
+            raise VersionConflictError("a row does not have the expected version")
         return max((change.expected_version for change in transaction.changes), default=0) + 1
 
     async def changes(self, table, after_version, wait_s):
-        """See ``VersionedStoreBase.changes``; all rows are told when one has changed."""
-        until_s = self._reactor.seconds() + wait_s
-        prefix = _name(RowKey(table, "", ""))
+        """See ``VersionedStoreBase.changes``; returns all rows when any has changed."""
+        deadline_s = self._reactor.seconds() + wait_s
+        prefix = _row_name(RowKey(table, "", ""))
         while True:
             rows = await self._read(self._table.scan_all(prefix))
-            stored = [_stored(RowKey(table, "", row.key[len(prefix) :]), row) for row in rows]
+            stored = [_stored_row(RowKey(table, "", row.key[len(prefix) :]), row) for row in rows]
             version = sum(row.version for row in stored)
             if version > after_version:
                 return TableChanges(tuple(stored), version)
-            if self._reactor.seconds() >= until_s:
+            if self._reactor.seconds() >= deadline_s:
                 return TableChanges((), version)
             await task.deferLater(self._reactor, _POLL_S)
 
-    async def _read(self, reading):
+    async def _read(self, operation):
         try:
-            return await reading
+            return await operation
         except (OutcomeUnknownError, PlatformUnavailableError) as failure:
             raise RowsUnavailableError(str(failure)) from failure
 
 
-def _name(key: RowKey) -> str:
+def _row_name(key: RowKey) -> str:
     return f"rows/{key.table}/{key.part}/{key.key}"
 
 
-def _stored(key: RowKey, row: Row) -> StoredRow:
+def _stored_row(key: RowKey, row: Row) -> StoredRow:
     value = row.value["value"]
     if value is None:
         return StoredRow(key, b"", row.version, gone=True)
@@ -136,7 +136,7 @@
 
 
 class StandaloneSources(SourcesBase):
-    """Configuration and endpoints as ``turnward gateway_apply`` writes them."""
+    """Sources that read what ``turnward gateway_apply`` writes."""
 
     def feeds(self, state):
         """See ``SourcesBase.feeds``."""
@@ -159,34 +159,36 @@
 
 
 class GatewayResources(msgspec.Struct, forbid_unknown_fields=True):
-    """A file of gateway resources: a configuration, and the endpoints behind it."""
+    """Contents of a resource file: a configuration and its endpoints."""
 
     configuration: Configuration
     endpoints: tuple[EndpointEntry, ...] = ()
 
     def faults(self) -> list[str]:
-        """Return what is wrong beyond types."""
-        found = []
+        """Return errors that the types do not rule out."""
+        messages = []
         pools = {pool.name for pool in self.configuration.pools}
         for route in self.configuration.routes:
             prefix = route.path_prefix
             if not (prefix.startswith("/") and prefix.endswith("/")):
-                found.append(f"routes.{route.name}.path_prefix: expected /.../, found {prefix!r}")
-            found.extend(
+                messages.append(
+                    f"routes.{route.name}.path_prefix: expected /.../, found {prefix!r}"
+                )
+            messages.extend(
                 f"routes.{route.name}.pools: expected one of {', '.join(sorted(pools))}, "
                 f"found {share.pool!r}"
                 for share in route.pools
                 if share.pool not in pools
             )
-        found.extend(
+        messages.extend(
             f"endpoints.{entry.endpoint_id}.address: expected IP:port, found {entry.address!r}"
             for entry in self.endpoints
             if parse_address(entry.address) is None
         )
-        return found
+        return messages
 
     def rows(self) -> list[tuple[RowKey, bytes]]:
-        """Return the rows to write."""
+        """Return the keys and values of the rows to write."""
         key = RowKey(CONFIGURATION_TABLE, "", CONFIGURATION_KEY)
         rows = [(key, msgspec.json.encode(self.configuration))]
         rows.extend(
@@ -202,7 +204,7 @@
     Raises
     ------
     SettingsError
-        Names the file and every fault.
+        If the file has errors; the message names the file and lists all of them.
     """
     resources, faults = convert_checked(read_toml(str(path)), GatewayResources)
     if faults:
--- a/turnward/gateway/tests/test_standalone.py
+++ b/turnward/gateway/tests/test_standalone.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The gateway in its own home: its rows in the table, its resource files, its settings."""
+"""The standalone gateway: rows in the table, resource files and settings."""
 
 from pathlib import Path
 
@@ -21,10 +21,10 @@
 from turnward.store import MemoryTable, OutcomeUnknownError, PlatformUnavailableError
 
 KEY = RowKey("mine", "part", "row")
-GOOD = "examples/gateway-resources.toml"
+EXAMPLE = "examples/gateway-resources.toml"
 
 
-class World:
+class Setup:
     def __init__(self, table=None):
         self.clock = task.Clock()
         self.table = table or MemoryTable()
@@ -46,27 +46,27 @@
 
 
 def test_row_writes_check_versions():
-    world = World()
-    version = world.write(b"one", 0)
-    row = world.run(world.rows.read_row(KEY))
+    setup = Setup()
+    version = setup.write(b"one", 0)
+    row = setup.run(setup.rows.read_row(KEY))
     assert (row.value, row.version) == (b"one", version)
-    assert world.write(b"two", version) == version + 1
+    assert setup.write(b"two", version) == version + 1
     with pytest.raises(VersionConflictError):
-        world.write(b"three", version)
+        setup.write(b"three", version)
 
 
 def test_removed_row_is_reported_and_raises_version():
-    world = World()
+    setup = Setup()
     key = RowKey("mine", "", "a")
-    world.write(b"1", 0, key)
-    before = world.run(world.rows.read_table("mine"))
-    world.run(world.rows.transact(VersionedTransaction((), removals=(key,))))
-    changes = world.run(world.rows.changes("mine", before.version, 1.0))
+    setup.write(b"1", 0, key)
+    before = setup.run(setup.rows.read_table("mine"))
+    setup.run(setup.rows.transact(VersionedTransaction((), removals=(key,))))
+    changes = setup.run(setup.rows.changes("mine", before.version, 1.0))
     assert [(row.key, row.gone) for row in changes.rows] == [(key, True)]
-    assert world.run(world.rows.changes("mine", changes.version, 1.0)).rows == ()
+    assert setup.run(setup.rows.changes("mine", changes.version, 1.0)).rows == ()
 
 
-class Failing(MemoryTable):
+class FailingTable(MemoryTable):
     def __init__(self, error):
         super().__init__()
         self.error = error
@@ -79,28 +79,28 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "written"),
+    ("error", "raised"),
     [
         (PlatformUnavailableError("down"), RowsUnavailableError),
         (OutcomeUnknownError("lost"), RowOutcomeUnknownError),
     ],
 )
-def test_table_errors_are_translated(error, written):
-    world = World(Failing(error))
-    with pytest.raises(written):
-        world.write(b"x", 0)
+def test_table_errors_are_translated(error, raised):
+    setup = Setup(FailingTable(error))
+    with pytest.raises(raised):
+        setup.write(b"x", 0)
     with pytest.raises(RowsUnavailableError):
-        world.run(world.rows.read_row(KEY))
+        setup.run(setup.rows.read_row(KEY))
 
 
 def test_examples_are_valid():
-    resources = load_gateway_resources(GOOD)
+    resources = load_gateway_resources(EXAMPLE)
     assert {row[0].table for row in resources.rows()} == {"configuration", "endpoints"}
     assert load_gateway_settings("examples/gateway.toml").node == "gateway-1"
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "message"),
     [
         (('path_prefix = "/bookings/"', 'path_prefix = "bookings"'), "path_prefix: expected /.../"),
         (('{ pool = "points" }', '{ pool = "point" }'), "found 'point'"),
@@ -109,19 +109,19 @@
         (("[[endpoints]]", "[[endpoint]]"), "endpoint: expected one of"),
     ],
 )
-def test_resource_errors_are_reported(change, told, tmp_path):
-    with open(GOOD) as file:
+def test_resource_errors_are_reported(change, message, tmp_path):
+    with open(EXAMPLE) as file:
         text = file.read()
     assert change[0] in text
     path = tmp_path / "resources.toml"
     path.write_text(text.replace(*change))
     with pytest.raises(SettingsError, match="resources.toml") as caught:
         load_gateway_resources(path)
-    assert told in str(caught.value)
+    assert message in str(caught.value)
 
 
 def test_configuration_round_trips_through_its_row():
-    configuration = load_gateway_resources(GOOD).configuration
+    configuration = load_gateway_resources(EXAMPLE).configuration
     encoded = msgspec.json.encode(configuration)
     assert msgspec.json.decode(encoded, type=type(configuration)) == configuration
 
