--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Gateways, endpoints, callers and the store on a network in memory."""
+"""Test harness: gateways, endpoints, callers and the store on an in-memory network."""
 
 import random
 
@@ -36,7 +36,7 @@
 
 
 class ListLog:
-    """Keeps lines in a list."""
+    """A gateway log that keeps its lines in a list."""
 
     def __init__(self):
         self.lines: list[dict] = []
@@ -47,7 +47,7 @@
     failure = belief = event
 
     def flush(self):
-        """Nothing waits."""
+        """Do nothing; no line is buffered."""
 
     def take_left_out(self):
         return 0
@@ -57,7 +57,20 @@
 
 
 class Endpoint:
-    """A scripted endpoint; ``behave(endpoint, request)`` answers each request."""
+    """A scripted endpoint.
+
+    Parameters
+    ----------
+    behave : callable
+        Called with the endpoint and each request; sends the response.
+
+    Attributes
+    ----------
+    disconnected : list
+        Requests whose connection the gateway closed.
+    answers_early : bool
+        Whether ``behave`` is called before the request body has been received.
+    """
 
     def __init__(self, harness, host, endpoint_id, pool, behave):
         self.machine = harness.network.machine(host)
@@ -67,14 +80,14 @@
         self.behave = behave
         self.requests = []
         self.bodies = []
-        self.gone = []
+        self.disconnected = []
         self.answers_early = False
         self.factory = InboundFactory(self.machine, self._handle, InboundLimits())
         self.machine.listenTCP(ENDPOINT_PORT, self.factory)
 
     def _handle(self, request):
         self.requests.append(request)
-        request.on_gone = lambda: self.gone.append(request)
+        request.on_gone = lambda: self.disconnected.append(request)
         expected = header_value(request.headers, DIALECT.expected_endpoint)
         if expected is not None and expected != self.endpoint_id.encode():
             request.answer(421, [])
@@ -105,26 +118,26 @@
 
 
 def answer_ok(endpoint, request, body=b"fine"):
-    """Answer in full."""
+    """Answer with 200 and a body."""
     request.answer(200, answer_head(request), body)
 
 
 def answer_not_run(endpoint, request):
-    """Say that the request was not run."""
+    """Answer that the request has not been run."""
     request.answer(503, [(DIALECT.not_run, b"1")])
 
 
 def never_answer(endpoint, request):
-    """Say nothing."""
+    """Leave the request unanswered."""
 
 
 def abort_connection(endpoint, request):
-    """Cut the connection instead of an answer."""
+    """Reset the connection."""
     request.abort()
 
 
 def raw_answer(data):
-    """Return a behaviour that writes bytes as they are, with the id filled in."""
+    """Return a ``behave`` that writes raw bytes, with ``<id>`` replaced by the request id."""
 
     def behave(endpoint, request):
         request_id = header_value(request.headers, DIALECT.request_id)
@@ -134,14 +147,17 @@
 
 
 def encode_events(first, last, size=5):
-    """Return the bytes of events with rising ids."""
+    """Return encoded events with consecutive ids."""
     return b"".join(
         b"id: %d\ndata: %b\n\n" % (number, b"x" * size) for number in range(first, last + 1)
     )
 
 
 def stream_events(count, up_to=None, then=None):
-    """Return a behaviour that streams events, all or up to one, and then does ``then``."""
+    """Return a ``behave`` that streams ``count`` events, or fewer, up to ``up_to``.
+
+    ``then`` is called in place of finishing the response.
+    """
 
     def behave(endpoint, request):
         after = header_value(request.headers, DIALECT.last_event_id)
@@ -157,7 +173,7 @@
 
 
 class Caller(Protocol):
-    """A caller's connection: all that came back, and whether it was closed."""
+    """A caller's connection: the bytes received and the reason why it was closed, if so."""
 
     def __init__(self):
         self.received = b""
@@ -195,11 +211,11 @@
 
 
 class Harness:
-    """A small deployment."""
+    """A small in-memory deployment with one or more gateways."""
 
-    #: Part of each limit that gateways keep for the end.
+    #: Share of each token limit withheld as the end reserve.
     budget_reserve_share = 0.0
-    #: Switches of the gateways that start from now on.
+    #: Switches of gateways started after they are set.
     mechanisms = Mechanisms()
 
     def __init__(self, routes=None, pools=None, workspaces=None, **route_fields):
@@ -210,8 +226,8 @@
         self.clients = []
         self.logs: list[ListLog] = []
         self.endpoints: list[Endpoint] = []
-        self._callers = 0
-        self._ids = 0
+        self._connections = 0
+        self._request_count = 0
         self._version = 0
         self.configuration = Configuration(
             version=1,
@@ -223,7 +239,7 @@
 
     @staticmethod
     def route(**fields):
-        values = {
+        defaults = {
             "name": "r",
             "host": HOST.decode(),
             "path_prefix": "/a/",
@@ -232,10 +248,10 @@
             "attempts": 2,
             "time_limit_s": 5.0,
         }
-        return Route(**{**values, **fields})
+        return Route(**{**defaults, **fields})
 
     def configure(self, **changes):
-        """Write a new version of the configuration."""
+        """Write a new version of the configuration with some fields changed."""
         self.configuration = msgspec.structs.replace(
             self.configuration, version=self.configuration.version + 3, **changes
         )
@@ -254,13 +270,13 @@
         self.rows.put("endpoints", endpoint.endpoint_id, value)
 
     def gateway(self, start=True):
-        """Start another gateway."""
+        """Add a gateway on a new machine."""
         number = len(self.gateways) + 1
         machine = self.network.machine(f"10.1.0.{number}")
         return self.run_gateway(machine, f"node-{number}", start)
 
     def run_gateway(self, machine, node, start=True):
-        """Start a gateway on a machine."""
+        """Add a gateway on a given machine."""
         host = machine.host
         settings = GatewaySettings(
             node=node,
@@ -295,7 +311,7 @@
         return process
 
     def ready(self, gateways=1):
-        """Write the configuration, start gateways and wait until they serve."""
+        """Write the configuration, start gateways and wait until they are ready."""
         self.rows.put("configuration", "all", msgspec.json.encode(self.configuration))
         for _ in range(gateways):
             self.gateway()
@@ -303,9 +319,9 @@
         return self
 
     def connect(self, gateway=0, port=CALLERS_PORT):
-        """Return a caller's connection to a gateway."""
-        self._callers += 1
-        machine = self.network.machine(f"10.7.0.{self._callers}")
+        """Open a caller's connection to a gateway and return it."""
+        self._connections += 1
+        machine = self.network.machine(f"10.7.0.{self._connections}")
         caller = Caller()
         caller.machine = machine
         machine.connectTCP(self.machines[gateway].host, port, _CallerFactory(caller))
@@ -315,9 +331,9 @@
     def request_bytes(
         self, method=b"GET", path=b"/a/x", body=None, key=KEY, request_id=None, headers=()
     ):
-        """Return a request's bytes."""
-        self._ids += 1
-        request_id = request_id or b"id-%d" % self._ids
+        """Return an encoded request."""
+        self._request_count += 1
+        request_id = request_id or b"id-%d" % self._request_count
         lines = [method + b" " + path + b" HTTP/1.1", b"Host: " + HOST]
         lines.append(b"Request-Id: " + request_id)
         if key is not None:
@@ -334,13 +350,13 @@
         return caller
 
     def ask(self, gateway=0, limit_s=10.0, **fields):
-        """Send a request and wait for the whole answer."""
+        """Send a request, wait for the complete response and return the connection."""
         caller = self.send(gateway, **fields)
         self.network.advance_until(lambda: answered(caller), limit_s)
         return caller
 
     def prompt(self, tokens, output, parts=b""):
-        """Return the headers of a model request."""
+        """Return the headers that describe a prompt."""
         return (
             (b"Token-Count", b"%d,%d" % (tokens, output)),
             (b"Prompt-Parts", parts or b"aa:%d" % tokens),
@@ -348,11 +364,11 @@
 
 
 def answered(caller):
-    """Tell whether a whole answer, or the end of the connection, is there."""
+    """Tell whether a complete response has arrived or the connection has closed."""
     if caller.closed is not None:
         return True
-    head, mark, body = caller.received.partition(b"\r\n\r\n")
-    if not mark:
+    head, separator, body = caller.received.partition(b"\r\n\r\n")
+    if not separator:
         return False
     if b"transfer-encoding: chunked" in head.lower():
         return body.endswith(b"0\r\n\r\n")
@@ -361,11 +377,11 @@
 
 
 def dechunk(body):
-    """Return the content of a chunked body, and whether its end mark is there."""
+    """Decode a chunked body; return the content and whether the last chunk has arrived."""
     content = b""
     while True:
-        size, mark, rest = body.partition(b"\r\n")
-        if not mark:
+        size, separator, rest = body.partition(b"\r\n")
+        if not separator:
             return content, False
         length = int(size, 16)
         if length == 0:
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What callers and endpoints see of a request that passes through a gateway."""
+"""Requests forwarded by a gateway, as callers and endpoints see them."""
 
 import msgspec
 import pytest
@@ -148,11 +148,11 @@
 
 
 def test_error_of_only_endpoint_is_forwarded_unchanged():
-    def fail(endpoint, request):
+    def answer_500(endpoint, request):
         request.answer(500, answer_head(request), b"own words")
 
     harness = Harness(repeat=Repeat.ANY, attempts=3)
-    harness.endpoint(fail)
+    harness.endpoint(answer_500)
     harness.ready()
     caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"own words")
@@ -169,21 +169,21 @@
 
 def test_unreachable_endpoints_are_skipped_without_sending():
     harness = Harness(repeat=Repeat.ONCE, attempts=1)
-    dead = [harness.endpoint(answer_ok) for _ in range(2)]
+    killed = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.endpoint(answer_ok)
     harness.ready()
-    for endpoint in dead:
+    for endpoint in killed:
         endpoint.machine.kill()
     assert [harness.ask(method=b"POST", body=b"x").status for _ in range(5)] == [200] * 5
 
 
 def test_endpoint_error_is_retried_then_forwarded():
-    def fails(endpoint, request):
+    def answer_500(endpoint, request):
         request.answer(500, answer_head(request, endpoint.endpoint_id.encode()), b"broken")
 
     harness = Harness(repeat=Repeat.ANY, attempts=2)
-    harness.endpoint(fails)
-    harness.endpoint(fails)
+    harness.endpoint(answer_500)
+    harness.endpoint(answer_500)
     harness.ready()
     caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"broken")
@@ -200,11 +200,11 @@
 
 
 def test_not_run_status_is_not_forwarded_for_request_that_may_have_run():
-    def busy(endpoint, request):
+    def answer_503(endpoint, request):
         request.answer(503, answer_head(request), b"later")
 
     harness = Harness(repeat=Repeat.ONCE)
-    harness.endpoint(busy)
+    harness.endpoint(answer_503)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"")
     assert caller.status == 502
@@ -259,13 +259,13 @@
 
 
 def test_truncated_response_is_never_continued_from_another_endpoint():
-    def cut(endpoint, request):
+    def abort_halfway(endpoint, request):
         request.start(200, answer_head(request, b"first"), None)
         request.write(b"half")
         endpoint.machine.callLater(0.05, request.abort)
 
     harness = Harness(repeat=Repeat.ANY, attempts=2)
-    harness.endpoint(cut)
+    harness.endpoint(abort_halfway)
     harness.endpoint(lambda endpoint, request: answer_ok(endpoint, request, b"whole"))
     harness.ready()
     for _ in range(6):
@@ -303,7 +303,7 @@
     harness.network.advance(0.1)
     caller.transport.loseConnection()
     harness.network.advance(0.05)
-    assert len(endpoint.gone) == 1
+    assert len(endpoint.disconnected) == 1
     assert not harness.gateways[0].forwarder.open_requests
 
 
@@ -330,8 +330,8 @@
     paths = [b"/a/slow", b"/a/quick", b"/a/last"]
     caller.transport.write(b"".join(harness.request_bytes(path=path) for path in paths))
     harness.network.advance(1.0)
-    found = [caller.received.index(path) for path in paths]
-    assert found == sorted(found)
+    positions = [caller.received.index(path) for path in paths]
+    assert positions == sorted(positions)
     assert caller.received.count(b"200 OK") == 3
 
 
@@ -385,11 +385,11 @@
 
 
 def test_large_body_is_streamed_and_slow_endpoint_pauses_caller():
-    def reads_nothing(endpoint, request):
+    def read_nothing(endpoint, request):
         request.pause_body()
 
     harness = Harness(repeat=Repeat.ONCE, time_limit_s=60.0)
-    endpoint = harness.endpoint(reads_nothing)
+    endpoint = harness.endpoint(read_nothing)
     endpoint.answers_early = True
     harness.ready()
     caller = harness.connect()
@@ -400,11 +400,11 @@
         if caller.transport._under_way < 300_000:
             caller.transport.write(b"b" * 10_000)
             harness.network.advance(0.005)
-    held = caller.transport._under_way
-    assert held > 100_000
+    unread = caller.transport._under_way
+    assert unread > 100_000
     endpoint.requests[0].attach(lambda data: None, lambda: None)
     harness.network.advance(0.5)
-    assert caller.transport._under_way < held
+    assert caller.transport._under_way < unread
 
 
 def test_slow_caller_pauses_endpoint():
@@ -432,21 +432,21 @@
 # Event streams.
 
 
-def streaming(resumable, attempts=3):
+def streaming_harness(resumable, attempts=3):
     return Harness(
         pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=resumable, attempts=attempts
     )
 
 
 def test_events_are_forwarded_as_they_arrive():
-    def slowly(endpoint, request):
+    def stream_slowly(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 1))
         endpoint.machine.callLater(1.0, request.write, encode_events(2, 2))
         endpoint.machine.callLater(1.1, request.finish)
 
-    harness = streaming(resumable=True)
-    harness.endpoint(slowly)
+    harness = streaming_harness(resumable=True)
+    harness.endpoint(stream_slowly)
     harness.ready()
     caller = harness.send(method=b"POST", body=b"p")
     harness.network.advance(0.5)
@@ -456,7 +456,7 @@
 
 
 def test_resumable_stream_continues_at_another_endpoint():
-    harness = streaming(resumable=True)
+    harness = streaming_harness(resumable=True)
     broken = harness.endpoint(
         stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
     )
@@ -469,13 +469,13 @@
 
 
 def test_partial_event_is_not_joined_with_another_run():
-    def cut_inside(endpoint, request):
+    def abort_inside_event(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 3)[:-4])
         endpoint.machine.callLater(0.05, request.abort)
 
-    harness = streaming(resumable=True)
-    harness.endpoint(cut_inside)
+    harness = streaming_harness(resumable=True)
+    harness.endpoint(abort_inside_event)
     harness.endpoint(stream_events(5))
     harness.ready()
     for _ in range(4):
@@ -483,7 +483,7 @@
 
 
 def test_non_resumable_stream_is_aborted_and_does_not_look_complete():
-    harness = streaming(resumable=False)
+    harness = streaming_harness(resumable=False)
     for _ in range(2):
         harness.endpoint(
             stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
@@ -496,19 +496,19 @@
 
 
 def test_resumed_stream_that_restarts_is_rejected():
-    def restarts(endpoint, request):
+    def restart_stream(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 9))
         request.finish()
 
-    harness = streaming(resumable=True, attempts=2)
+    harness = streaming_harness(resumable=True, attempts=2)
     first = harness.endpoint(
         stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.5, r.abort))
     )
     harness.ready()
     caller = harness.send(method=b"POST", body=b"p")
     harness.network.advance_until(lambda: first.requests)
-    harness.endpoint(restarts)
+    harness.endpoint(restart_stream)
     harness.network.advance_until(lambda: answered(caller))
     body, complete = dechunk(caller.body)
     assert body == encode_events(1, 4)
@@ -516,32 +516,32 @@
 
 
 def test_stream_that_ends_inside_an_event_does_not_look_complete():
-    def ends_early(endpoint, request):
+    def end_inside_event(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 3)[:-4])
         request.finish()
 
-    harness = streaming(resumable=False)
-    harness.endpoint(ends_early)
+    harness = streaming_harness(resumable=False)
+    harness.endpoint(end_inside_event)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
     assert not dechunk(caller.body)[1]
 
 
-# Endpoints that leave, and addresses that are used again.
+# Draining endpoints and reassigned addresses.
 
 
 def test_draining_endpoint_gets_no_new_requests():
     harness = Harness()
-    leaving = harness.endpoint(answer_ok)
+    draining = harness.endpoint(answer_ok)
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.announce(leaving, leaving=True)
+    harness.announce(draining, leaving=True)
     harness.network.advance(0.1)
-    before = len(leaving.requests)
+    before = len(draining.requests)
     assert [harness.ask().status for _ in range(6)] == [200] * 6
-    assert len(leaving.requests) == before
+    assert len(draining.requests) == before
 
 
 def test_request_is_not_run_at_reassigned_address():
@@ -637,7 +637,7 @@
     harness = Harness(repeat=Repeat.STREAM, time_limit_s=20.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
-    # One request holds the process up to its limit, another begins to arrive late.
+    # One request delays the stop to its limit, another arrives in two parts.
     running = harness.send(method=b"POST", body=b"")
     late = harness.connect()
     late.transport.write(harness.request_bytes(method=b"POST", body=b"")[:40])
@@ -682,7 +682,7 @@
     harness.ready()
     caller = harness.connect()
     caller.transport.write(harness.request_bytes(method=b"POST", body=b""))
-    # The request is read and a connection is being opened.
+    # The request has been read and a connection to the endpoint is being opened.
     assert harness.network.advance_until(lambda: harness.gateways[0].forwarder.open_requests)
     harness.machines[0].freeze()
     harness.network.advance(3.0)
@@ -693,7 +693,7 @@
 
 
 def test_replaced_endpoint_is_tried_once():
-    """One of 20 requests is refused; four when each took two to count, for a few seconds."""
+    """One response from a replaced endpoint is enough for it to be avoided."""
     harness = Harness(attempts=1)
     endpoints = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.ready()
