--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Any bytes at any face: a clear answer or a closed connection, and the process serves on."""
+"""Arbitrary bytes at any port get a valid response or a closed connection, and never a crash."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -8,9 +8,9 @@
 from turnward.gateway.peers import PeerExchange
 from turnward.gateway.tests.harness import PEERS_PORT, READY_PORT, Harness, answer_ok, raw_answer
 
-FUZZ = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+FUZZ_SETTINGS = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
-LINES = st.lists(
+REQUESTS = st.lists(
     st.sampled_from(
         [
             b"GET /a/x HTTP/1.1",
@@ -50,31 +50,31 @@
 ).map(b"\r\n".join)
 
 
-def alive(harness):
+def still_serves(harness):
     caller = harness.ask()
     return caller.status == 200 and not harness.logs[0].with_event("process.fault")
 
 
-def fresh(**fields):
+def ready_harness(**fields):
     harness = Harness(**fields)
     harness.endpoint(answer_ok)
     return harness.ready()
 
 
-@FUZZ
-@given(st.one_of(st.binary(max_size=200), LINES))
+@FUZZ_SETTINGS
+@given(st.one_of(st.binary(max_size=200), REQUESTS))
 def test_arbitrary_bytes_from_caller(data):
-    harness = fresh(time_limit_s=2.0)
+    harness = ready_harness(time_limit_s=2.0)
     caller = harness.connect()
     caller.transport.write(data + b"\r\n\r\n")
     harness.network.advance(0.1)
     caller.transport.write(b"more\r\n\r\n")
     harness.network.advance(8.0, step_s=0.05)
     assert caller.received == b"" or caller.received.startswith(b"HTTP/1.1 ")
-    assert alive(harness)
+    assert still_serves(harness)
 
 
-ANSWERS = st.lists(
+RESPONSES = st.lists(
     st.sampled_from(
         [
             b"HTTP/1.1 200 OK",
@@ -103,9 +103,9 @@
 ).map(b"\r\n".join)
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(
-    st.one_of(st.binary(max_size=200), ANSWERS),
+    st.one_of(st.binary(max_size=200), RESPONSES),
     st.sampled_from([Repeat.ANY, Repeat.ONCE, Repeat.STREAM]),
 )
 def test_arbitrary_bytes_from_endpoint(data, repeat):
@@ -123,10 +123,10 @@
     assert not harness.logs[0].with_event("process.fault")
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(st.binary(max_size=300))
 def test_arbitrary_bytes_at_internal_ports(data):
-    harness = fresh()
+    harness = ready_harness()
     sender = harness.network.machine("10.7.7.7")
     sender.listenUDP(5, PeerExchange(lambda message: None, lambda host, layout: None))
     harness.machines[0].datagram_listeners[PEERS_PORT].datagramReceived(data, ("10.7.7.7", 5))
@@ -134,4 +134,4 @@
         caller = harness.connect(port=port)
         caller.transport.write(data)
     harness.network.advance(0.2)
-    assert alive(harness)
+    assert still_serves(harness)
