--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -245,7 +245,7 @@
             quarantine=self._quarantine.word(),
             words=self._word_news.words(),
             limits=self._limits.told(),
-            accounts=self._accounts.news.told(),
+            accounts=self._accounts.updates.told(),
         )
 
     def _some_short(self) -> bool:
@@ -281,12 +281,12 @@
         starts = before is None or before.digest is None
         if starts or before.digest.incarnation != digest.incarnation:
             # It can't know what rows said that the store may have lost.
-            self._accounts.news.announce_all()
+            self._accounts.updates.announce_all()
         peer = self._book.hear(digest)
         if peer is None:
             return
         self.overlay.hear_digest(digest)
-        self._accounts.news.take_in(digest.accounts)
+        self._accounts.updates.take_in(digest.accounts)
         if not known:
             self.exchange.send(_encode(self.digest(), digest.layout), digest.address)
         self._compare(
--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -161,9 +161,11 @@
         self._lost_contact = False
         self._stopping = False
         self.ledger = GrantLedger(rule)
-        self.news = AccountUpdates(reactor.seconds, store.eras)
+        self.updates = AccountUpdates(reactor.seconds, store.eras)
         self.on_written: Callable[[], None] = lambda: None
-        self._restorer = AccountRestorer(reactor, store, incarnation, self.ledger, self.news, log)
+        self._restorer = AccountRestorer(
+            reactor, store, incarnation, self.ledger, self.updates, log
+        )
         self._borrower = Borrower(
             reactor, self.ledger, self._loan_rule, self._spendable_tokens, self._loan_came, log
         )
@@ -775,7 +777,7 @@
 
     def _tell_written(self, workspace: str, version: int, row: AccountRow) -> None:
         """Let the other routers know what a row says of which the store alone knows so far."""
-        self.news.record_written(workspace, version, taken_tokens(row))
+        self.updates.record_written(workspace, version, taken_tokens(row))
         self.on_written()
 
     def _changed_grant(self, row: AccountRow, delta_tokens: int, version: int) -> AccountRow:
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -223,22 +223,22 @@
 
 def test_request_waits_for_the_store_when_no_holder_answers():
     world = HolderWorld()
-    world.calm(1.0)
+    world.answer_all_calls(1.0)
     answers = []
     world.routers[1].reserve("acme", 6).addCallback(answers.append)
     while world.calls[1].pending:
         world.calls[1].decide("refused")
     assert answers == []
-    world.calm(0.5)
+    world.answer_all_calls(0.5)
     assert isinstance(answers[0], Reservation)
 
 
 def test_holder_reports_an_exhausted_budget():
     world = HolderWorld()
-    world.calm(1.0)
+    world.answer_all_calls(1.0)
     answers = []
     world.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
     while world.calls[1].pending:
         world.calls[1].decide("done")
-    world.calm(0.5)
+    world.answer_all_calls(0.5)
     assert answers == [BudgetRefusal.EXHAUSTED]
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -246,14 +246,14 @@
         elif name == "stop":
             self.routers[index].stop()
         elif name == "calm":
-            self.calm(action[2])
+            self.answer_all_calls(action[2])
         elif name == "time":
             self.clock.advance(action[2])
             for router in self.routers:
                 router.look()
         self.check()
 
-    def calm(self, seconds):
+    def answer_all_calls(self, seconds):
         """Let the store answer everything for a while."""
         for _ in range(int(seconds / 0.1)):
             while any(store.decide("done") for store in self.stores):
@@ -464,13 +464,13 @@
 def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
     world = PrepaidSimulation()
     world.spend(0, 30)
-    calm(world)
+    answer_all_calls(world)
     world.spend(0, 2)
-    calm(world)
+    answer_all_calls(world)
     before = ungranted(world)
     held = world.routers[0].ledger.free_tokens("acme")
     world.start(0)
-    calm(world, 1.0)
+    answer_all_calls(world, 1.0)
     assert held > 0
     assert ungranted(world) > before
     assert world.spent <= LIMIT - ungranted(world)
@@ -480,13 +480,13 @@
     """Return what a successor folds that the store turns away at first."""
     world = PrepaidSimulation()
     world.spend(0, 30)
-    calm(world)
+    answer_all_calls(world)
     world.start(0)
     for _ in range(int(away_s / 0.1)):
         while world.stores[0].decide("refused"):
             pass
         world.step(("time", 0, 0.1))
-    calm(world, 2.0)
+    answer_all_calls(world, 2.0)
     return world.routers[0]._log.with_event("prepaid.folded")[0]
 
 
@@ -499,7 +499,7 @@
 def test_spend_bound_lets_a_disconnected_router_spend_all_its_tokens_in_time():
     world = PrepaidSimulation()
     world.spend(0, 20)
-    calm(world)
+    answer_all_calls(world)
     held = world.routers[0].ledger.free_tokens("acme")
     assert held > 10
     reports = world.routers[0]._reports
@@ -590,20 +590,20 @@
 
 def test_raised_limit_is_used_and_lowered_limit_is_recalled():
     world = PrepaidSimulation()
-    calm(world)
+    answer_all_calls(world)
     world.spend(0, 50)
-    calm(world)
+    answer_all_calls(world)
     assert world.spent == 50
     world.limit, world.version = LIMIT + 30, 2
     for index in (0, 1):
         world.set_limit(index)
     world.spend(1, 30)
-    calm(world)
+    answer_all_calls(world)
     assert world.spent == 80
     world.limit, world.version, world.lowered = 80, 3, True
     for index in (0, 1):
         world.set_limit(index)
-    calm(world)
+    answer_all_calls(world)
     assert ungranted(world) >= 0
     answer = world.routers[0].reserve("acme", 5)
     assert answer is BudgetRefusal.EXHAUSTED
@@ -614,19 +614,19 @@
     world.limit, world.version = 10, 5
     world.set_limit(0)
     world.spend(0, 2)
-    calm(world)
+    answer_all_calls(world)
     world.limit, world.version = LIMIT, 1
     world.set_limit(1)
-    calm(world)
+    answer_all_calls(world)
     assert decode_account(world.rows.get(KEY_OF_ROW)).limit_tokens == 10
 
 
 def test_stopping_router_gives_all_back():
     world = PrepaidSimulation()
     world.spend(0, 6)
-    calm(world)
+    answer_all_calls(world)
     world.routers[0].stop()
-    calm(world)
+    answer_all_calls(world)
     assert world.routers[0].settled
     account = decode_account(world.rows.get(KEY_OF_ROW))
     assert account.granted_tokens["node-0@1"] == 6
@@ -652,7 +652,7 @@
 def test_urgent_requests_go_first_while_the_store_is_not_reached():
     world = PrepaidSimulation()
     world.spend(0, 20)
-    calm(world)
+    answer_all_calls(world)
     router = world.routers[0]
     world.clock.advance(ALL_S)
     held = router.ledger.free_tokens("acme")
@@ -683,17 +683,17 @@
     world.clock.advance(0.5)
     assert answers == [BudgetRefusal.UNREACHABLE]
     assert world.routers[0].reserve("acme", 5) is BudgetRefusal.UNREACHABLE
-    calm(world)
+    answer_all_calls(world)
     assert isinstance(world.routers[0].reserve_now("acme", 1), Reservation | None)
     world.spend(0, 5)
-    calm(world)
+    answer_all_calls(world)
     assert world.spent == 5
 
 
 def test_router_that_is_cut_off_borrows_what_a_peer_holds():
     world = PrepaidSimulation()
     world.spend(0, 20)
-    calm(world)
+    answer_all_calls(world)
     world.clock.advance(ALL_S)
     held = world.routers[0].spare()[0].tokens
     assert held >= 6
@@ -708,7 +708,7 @@
 def test_request_is_refused_at_once_when_no_peer_can_lend():
     world = PrepaidSimulation()
     world.spend(0, 20)
-    calm(world)
+    answer_all_calls(world)
     world.clock.advance(ALL_S)
     lose_store(world, 1)
     answers = []
@@ -722,7 +722,7 @@
 def test_last_tokens_of_a_workspace_are_borrowed_from_the_peer_that_holds_them():
     world = PrepaidSimulation()
     world.spend(0, 30)
-    calm(world)
+    answer_all_calls(world)
     free = [router.ledger.free_tokens("acme") for router in world.routers]
     left = ungranted(world)
     assert free[0] >= 4
@@ -731,7 +731,7 @@
     world.routers[1].reserve("acme", wanted).addCallback(answers.append)
     for _ in range(20):
         world.lenders[1].decide("done")
-        calm(world, 0.1)
+        answer_all_calls(world, 0.1)
     assert isinstance(answers[0], Reservation)
 
 
@@ -743,9 +743,9 @@
     world.routers[index]._pause()
 
 
-def calm(world, seconds=3.0):
+def answer_all_calls(world, seconds=3.0):
     """Let the store answer everything for a while."""
-    world.calm(seconds)
+    world.answer_all_calls(seconds)
 
 
 # The same through whole gateways.
--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -114,15 +114,15 @@
         for router in filter(None, self.routers):
             # A router that hears of another one for the first time tells it all, before the next
             # one dies: if all who know die at once, nobody can tell what the store has lost.
-            router.news.announce_all()
+            router.updates.announce_all()
         self.tell()
 
     def tell(self):
         """Play a round of messages."""
         one, other = self.routers
         if one is not None and other is not None:
-            one.news.take_in(other.news.told())
-            other.news.take_in(one.news.told())
+            one.updates.take_in(other.updates.told())
+            other.updates.take_in(one.updates.told())
 
     def step(self, action):
         if action[0] == "copy":
