--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -621,7 +621,7 @@
     assert decode_account(world.rows.get(KEY_OF_ROW)).limit_tokens == 10
 
 
-def test_stopping_router_gives_all_back():
+def test_stopping_router_returns_all_free_tokens():
     world = PrepaidSimulation()
     world.spend(0, 6)
     answer_all_calls(world)
@@ -665,7 +665,7 @@
     assert isinstance(router.reserve("acme", held - 2, priority=0), Reservation)
 
 
-def test_waiting_requests_are_refused_when_contact_is_lost():
+def test_waiting_requests_are_refused_when_the_store_becomes_unreachable():
     world = PrepaidSimulation()
     answer = world.routers[0].reserve("acme", 5)
     refused = []
@@ -690,7 +690,7 @@
     assert world.spent == 5
 
 
-def test_router_that_is_cut_off_borrows_what_a_peer_holds():
+def test_disconnected_router_borrows_from_a_peer():
     world = PrepaidSimulation()
     world.spend(0, 20)
     answer_all_calls(world)
@@ -797,14 +797,14 @@
     assert ledger.committed_tokens("acme") == 80 + 40 + 40
 
 
-def test_request_larger_than_all_that_is_left_is_refused_at_once():
+def test_request_larger_than_the_remaining_tokens_is_refused_at_once():
     harness = prepaid_rig(1_000)
     harness.network.advance(1.0)
     caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(2_000, 10))
     assert (caller.status, reason(caller)) == (402, "budget_exhausted")
 
 
-def test_gateway_cut_off_from_the_store_serves_what_it_holds():
+def test_gateway_disconnected_from_the_store_serves_from_its_grant():
     harness = prepaid_rig(100_000)
     harness.network.advance(2.0)
     for client in harness.clients:
