--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -163,7 +163,7 @@
     return {world.choose().endpoint_id for _ in range(times)}
 
 
-def test_endpoint_gone_from_its_address_is_excluded_and_then_a_last_resort():
+def test_replaced_endpoint_is_excluded_and_then_a_last_resort():
     world = World(count=2)
     world.book.get("e-0").availability.mark_replaced(world.now_s)
     world.now_s += 60.0
@@ -176,7 +176,7 @@
     assert ids_chosen(world) == {"e-0", "e-1"}
 
 
-def test_no_endpoint_is_chosen_when_all_are_known_to_be_gone():
+def test_no_endpoint_is_chosen_when_all_are_replaced():
     world = World(count=2)
     for record in world.book.all():
         record.availability.mark_replaced(world.now_s)
@@ -292,7 +292,7 @@
         return chosen
 
 
-def test_endpoints_known_from_the_start_are_warm():
+def test_endpoints_known_at_start_are_warm():
     assert all(times > 10 for times in ColdWorld().chosen().values())
 
 
--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -127,7 +127,7 @@
     assert engines.shares(long_prompts())[1] > 0
 
 
-def test_measured_intervals_expire():
+def test_measured_gaps_expire():
     engines = Engines(ONE_SLOWER)
     engines.play()
     engines.now_s += 60.0
