--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -360,7 +360,7 @@
     return length is not None and len(body) >= int(length)
 
 
-def dechunk(body):
+def decode_chunked(body):
     """Return the content of a chunked body, and whether its end mark is there."""
     content = b""
     while True:
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -28,13 +28,13 @@
     answer_head,
     answer_ok,
     answered,
-    dechunk,
+    decode_chunked,
     encode_events,
     raw_answer,
     stream_events,
 )
 from turnward.gateway.tests.test_crashing_requests import trouble
-from turnward.gateway.tests.test_forwarding import reason
+from turnward.gateway.tests.test_forwarding import error_reason
 from turnward.http1 import OutboundPool
 
 
@@ -159,7 +159,7 @@
     free.behave = stream_events(6)
     first.requests[0].abort()
     harness.network.advance_until(lambda: answered(caller))
-    assert dechunk(caller.body) == (encode_events(1, 6), True)
+    assert decode_chunked(caller.body) == (encode_events(1, 6), True)
     assert not speaking.requests
 
 
@@ -189,7 +189,7 @@
     refused = play.harness.ask()
     assert play.now_s - began_s < 0.05
     assert refused.status == 503
-    assert reason(refused) == "endpoints_resting"
+    assert error_reason(refused) == "endpoints_resting"
     # The rests began up to half a second ago, and are lengthened by up to a quarter.
     assert 2.4 <= float(refused.header(b"retry-after")) <= 1.5 * 1.25 * 3.0
     assert sum(len(endpoint.sends) for endpoint in play.endpoints) == sends
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -14,7 +14,7 @@
     answer_not_run,
     answer_ok,
     answered,
-    dechunk,
+    decode_chunked,
     encode_events,
     never_answer,
     raw_answer,
@@ -23,7 +23,7 @@
 from turnward.http1 import header_value
 
 
-def reason(caller):
+def error_reason(caller):
     return msgspec.json.decode(caller.body)["error"]
 
 
@@ -79,7 +79,7 @@
     harness.network.advance(8.0)
     for fields in ({"path": b"/other/"}, {"key": b"nobody"}):
         caller = harness.ask(**fields)
-        assert (caller.status, reason(caller)) == (503, "configuration_not_confirmed")
+        assert (caller.status, error_reason(caller)) == (503, "configuration_not_confirmed")
         assert float(caller.header(b"retry-after")) > 0
     assert harness.ask().status == 200
 
@@ -99,7 +99,7 @@
     harness.endpoint(answer_not_run)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"x")
-    assert (caller.status, reason(caller)) == (503, "endpoints_full")
+    assert (caller.status, error_reason(caller)) == (503, "endpoints_full")
     assert float(caller.header(b"retry-after")) > 0
     assert caller.header(b"answer-seal") is None
 
@@ -272,7 +272,9 @@
         caller = harness.ask()
         assert caller.status == 200
         assert caller.header(b"answer-seal") == b"seal"
-        body = dechunk(caller.body)[0] if caller.header(b"transfer-encoding") else caller.body
+        body = (
+            decode_chunked(caller.body)[0] if caller.header(b"transfer-encoding") else caller.body
+        )
         assert body == b"whole"
 
 
@@ -315,7 +317,7 @@
     harness.network.advance(0.95)
     assert caller.status is None
     harness.network.advance(0.15)
-    assert (caller.status, reason(caller)) == (504, "time_limit")
+    assert (caller.status, error_reason(caller)) == (504, "time_limit")
 
 
 def test_pipelined_requests_get_their_responses_in_order():
@@ -450,9 +452,9 @@
     harness.ready()
     caller = harness.send(method=b"POST", body=b"p")
     harness.network.advance(0.5)
-    assert dechunk(caller.body) == (encode_events(1, 1), False)
+    assert decode_chunked(caller.body) == (encode_events(1, 1), False)
     harness.network.advance(1.0)
-    assert dechunk(caller.body) == (encode_events(1, 2), True)
+    assert decode_chunked(caller.body) == (encode_events(1, 2), True)
 
 
 def test_resumable_stream_continues_at_another_endpoint():
@@ -464,7 +466,7 @@
     harness.ready()
     for _ in range(4):
         caller = harness.ask(method=b"POST", body=b"p")
-        assert dechunk(caller.body) == (encode_events(1, 9), True)
+        assert decode_chunked(caller.body) == (encode_events(1, 9), True)
     assert broken.requests
 
 
@@ -479,7 +481,10 @@
     harness.endpoint(stream_events(5))
     harness.ready()
     for _ in range(4):
-        assert dechunk(harness.ask(method=b"POST", body=b"p").body) == (encode_events(1, 5), True)
+        assert decode_chunked(harness.ask(method=b"POST", body=b"p").body) == (
+            encode_events(1, 5),
+            True,
+        )
 
 
 def test_non_resumable_stream_is_aborted_and_does_not_look_complete():
@@ -491,7 +496,7 @@
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
-    assert dechunk(caller.body) == (encode_events(1, 4), False)
+    assert decode_chunked(caller.body) == (encode_events(1, 4), False)
     assert sum(len(endpoint.requests) for endpoint in harness.endpoints) == 1
 
 
@@ -510,7 +515,7 @@
     harness.network.advance_until(lambda: first.requests)
     harness.endpoint(restarts)
     harness.network.advance_until(lambda: answered(caller))
-    body, complete = dechunk(caller.body)
+    body, complete = decode_chunked(caller.body)
     assert body == encode_events(1, 4)
     assert not complete
 
@@ -526,7 +531,7 @@
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
-    assert not dechunk(caller.body)[1]
+    assert not decode_chunked(caller.body)[1]
 
 
 # Endpoints that leave, and addresses that are used again.
@@ -550,7 +555,7 @@
     harness.ready()
     endpoint.endpoint_id = "e-new"
     caller = harness.ask(method=b"POST", body=b"")
-    assert (caller.status, reason(caller)) == (503, "no_endpoint")
+    assert (caller.status, error_reason(caller)) == (503, "no_endpoint")
 
 
 # Configuration.
@@ -646,7 +651,7 @@
     harness.network.advance(4.0)
     late.transport.write(harness.request_bytes(method=b"POST", body=b"")[40:])
     harness.network.advance(0.2)
-    assert (late.status, reason(late)) == (503, "stopping")
+    assert (late.status, error_reason(late)) == (503, "stopping")
     assert len(endpoint.requests) == 1
     assert running.status is None
 
@@ -689,7 +694,7 @@
     harness.machines[0].wake()
     harness.network.advance(0.5)
     assert endpoint.requests == []
-    assert (caller.status, reason(caller)) == (503, "time_limit")
+    assert (caller.status, error_reason(caller)) == (503, "time_limit")
 
 
 def test_replaced_endpoint_is_tried_once():
--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -12,7 +12,7 @@
 from turnward.gateway import EndpointPool, EngineTraits, Repeat
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.tests.harness import KEY, Harness, answer_head, answered, encode_events
-from turnward.gateway.tests.test_forwarding import reason
+from turnward.gateway.tests.test_forwarding import error_reason
 
 #: Prompt tokens that an engine reads in a millisecond, and of each request.
 TOKENS_PER_MS = 50
@@ -114,7 +114,7 @@
     served_at_capacity = CAPACITY_PER_S * WAVE_S
     assert wave.in_target() >= served_at_capacity
     assert wave.in_target() >= 2 * late.in_target()
-    assert {reason(caller) for caller in wave.refused()} == {"overloaded"}
+    assert {error_reason(caller) for caller in wave.refused()} == {"overloaded"}
     assert all(wave.begun_s[caller] < 0.05 for caller in wave.refused())
 
 
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -24,7 +24,7 @@
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import PromiseRule, SpendReports
 from turnward.gateway.tests.harness import KEY, Harness, ListLog, stream_events
-from turnward.gateway.tests.test_forwarding import ENGINE_POOL, reason
+from turnward.gateway.tests.test_forwarding import ENGINE_POOL, error_reason
 from turnward.ledger import Reservation, SizingRule
 from turnward.rows import (
     RowKey,
@@ -773,7 +773,9 @@
     refused = [caller for caller in statuses if caller.status != 200]
     # Each takes 80 tokens in and 4 events of 5 tokens out.
     assert 8 <= len(served) <= 10
-    assert {(caller.status, reason(caller)) for caller in refused} == {(402, "budget_exhausted")}
+    assert {(caller.status, error_reason(caller)) for caller in refused} == {
+        (402, "budget_exhausted")
+    }
 
 
 def test_retry_after_a_run_reserves_the_output_of_another_run():
@@ -801,7 +803,7 @@
     harness = prepaid_rig(1_000)
     harness.network.advance(1.0)
     caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(2_000, 10))
-    assert (caller.status, reason(caller)) == (402, "budget_exhausted")
+    assert (caller.status, error_reason(caller)) == (402, "budget_exhausted")
 
 
 def test_gateway_disconnected_from_the_store_serves_from_its_grant():
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -33,7 +33,7 @@
     random_play,
     stated_limit,
 )
-from turnward.gateway.tests.test_forwarding import reason
+from turnward.gateway.tests.test_forwarding import error_reason
 
 #: What an endpoint bears for a while: in each span, its rate by a factor, and some requests more.
 SPAN_S = 4.0
@@ -121,7 +121,7 @@
     # Half of what both allow in ten seconds: holders do not get a request in each interval.
     assert statuses.count(200) >= 20
     refusals = [caller for caller in play.callers if caller.status == 503]
-    assert {reason(caller) for caller in refusals} == {"endpoints_limited"}
+    assert {error_reason(caller) for caller in refusals} == {"endpoints_limited"}
     assert all(0.25 <= float(caller.header(b"retry-after")) <= 6.0 for caller in refusals)
     lines = [line for log in play.harness.logs for line in log.with_event("request.ended")]
     assert max(line["took_ms"] for line in lines if line["outcome"] == "refused") < 50
