--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -376,7 +376,7 @@
     return length is not None and len(body) >= int(length)
 
 
-def dechunk(body):
+def decode_chunked(body):
     """Decode a chunked body; return the content and whether the last chunk has arrived."""
     content = b""
     while True:
