--- a/turnward/gateway/abandoned_runs.py
+++ b/turnward/gateway/abandoned_runs.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs that a router cancelled shortly before their endpoint crashed.
+"""Runs that a router abandoned shortly before their endpoint crashed.
 
 When a caller disconnects or its deadline passes, the router closes the run's connection. If that
 run then crashes the endpoint, the router learns of the crash from another connection only, so
-recently cancelled runs are kept as possible causes.
+recently abandoned runs are kept as possible causes.
 """
 
 from collections import deque
@@ -19,14 +19,14 @@
 
 
 class AbandonedRun(msgspec.Struct, frozen=True):
-    """A cancelled run.
+    """A run whose connection the router closed before its response was complete.
 
     Attributes
     ----------
     content : str
         Fingerprint of the request's content.
     sent_s, abandoned_s : float
-        When the request was sent and when it was cancelled.
+        When the request was sent and when its connection was closed.
     """
 
     content: str
@@ -35,7 +35,7 @@
 
 
 class AbandonedRuns:
-    """The recently cancelled runs of one endpoint.
+    """The recently abandoned runs of one endpoint.
 
     Examples
     --------
@@ -51,7 +51,7 @@
         self._runs: deque[AbandonedRun] = deque(maxlen=_MAX_RUNS)
 
     def note(self, run: AbandonedRun) -> None:
-        """Add a cancelled run."""
+        """Add an abandoned run."""
         self._runs.append(run)
 
     def take(self, now_s: float) -> list[AbandonedRun]:
--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     owner : ForwardedRequest
-        The request, notified of how the attempt ends.
+        The request; its methods are called with the outcome of the attempt.
     record : EndpointRecord
         The endpoint.
 
@@ -158,7 +158,6 @@
         """Match the response to the request; a refusal may lack the request id."""
         match = super().match(status, headers)
         if match is AnswerMatch.INVALID and self._indicates_not_run(status, headers):
-            # A refusal need not carry the request id.
             return AnswerMatch.OWN
         return match
 
@@ -199,7 +198,7 @@
         if not sealed:
             return False
         if status in NOT_RUN_STATUSES and self._owner.must_run_once:
-            # The status would claim that the request has not run, which the endpoint did not say.
+            # Callers would conclude that the request has not run, which the endpoint did not say.
             return False
         if self._owner.head_sent and status != 200:
             return False
@@ -251,7 +250,7 @@
         return int(length) if length is not None else None
 
     def _buffer(self, data: bytes) -> None:
-        """Buffer a response body; beyond the limit, forward it as it comes."""
+        """Buffer a part of the body; beyond the limit, forward what is buffered."""
         self._buffered.append(data)
         self._buffered_bytes += len(data)
         if self._buffered_bytes > _BUFFER_LIMIT_BYTES:
@@ -278,7 +277,7 @@
         owner.finish_response(self, self._status)
 
     def exchange_failed(self, failure):
-        """Record the failure and notify the request."""
+        """Record the failure and report it to the forwarded request."""
         if self.ended:
             return
         self._remove_from_load()
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -45,9 +45,8 @@
 _REPLAY_LIMIT_BYTES = 262_144
 #: Failures that may mean that the endpoint's process has crashed.
 _CONNECTION_ENDED_CAUSES = frozenset((FailureCause.CLOSED, FailureCause.RESET))
-#: 64 bits.
 _FINGERPRINT_HEX_DIGITS = 16
-#: Bound on endpoints tried for a request while none has been sent anything.
+#: Endpoints tried without sending anything before a request is refused.
 _MAX_ENDPOINTS_TRIED = 6
 #: Reasons replaced by the pool's shortage, if the whole pool accepts no requests.
 _ENDPOINT_REASONS = frozenset((Reason.NO_ENDPOINT, Reason.ENDPOINTS_FULL))
@@ -151,7 +150,7 @@
         ForwardedRequest(self, request).start()
 
     def note_endpoint_crashed(self, record: EndpointRecord) -> None:
-        """Report the runs cancelled just before an endpoint may have crashed to the quarantine.
+        """Report the runs abandoned just before an endpoint may have crashed to the quarantine.
 
         Otherwise a request whose callers disconnect before it crashes the engine would never be
         suspected.
@@ -219,7 +218,11 @@
         if not forwarder.state.complete:
             self._refuse(503, Reason.NO_CONFIGURATION)
             return
-        if self._find_route(hosts[0]) and self._find_workspace() and self._read_limits():
+        if (
+            self._find_route(hosts[0])
+            and self._find_workspace()
+            and self._read_deadline_and_prompt()
+        ):
             request.on_gone = self._caller_disconnected
             forwarder.open_requests.add(self)
             self._reserve()
@@ -254,18 +257,18 @@
         else:
             self._refuse(status, reason)
 
-    def _read_limits(self) -> bool:
+    def _read_deadline_and_prompt(self) -> bool:
         headers = self._request.headers
         dialect = self._forwarder.dialect
-        limit_s = self._route.time_limit_s
+        time_limit_s = self._route.time_limit_s
         deadline = header_value(headers, dialect.deadline_ms)
         if deadline is not None:
             try:
-                limit_s = min(limit_s, float(deadline) / 1_000)
+                time_limit_s = min(time_limit_s, float(deadline) / 1_000)
             except ValueError:
                 self._refuse(400, Reason.BAD_REQUEST)
                 return False
-        self._deadline_s = self._started_s + limit_s
+        self._deadline_s = self._started_s + time_limit_s
         count = header_value(headers, dialect.token_count)
         if count is None:
             return True
@@ -285,36 +288,36 @@
         accounts = self._forwarder.accounts
         tokens = self._prompt.tokens + self._prompt.output_tokens
         if accounts is None or workspace is None or workspace.prepaid_tokens is None or not tokens:
-            self._gather_body()
+            self._receive_body()
             return
         may_retry = self._route.may_repeat and self._route.attempts > 1
         retry_tokens = self._prompt.output_tokens if may_retry else 0
-        answer = accounts.reserve(workspace.name, tokens, self.priority, retry_tokens)
-        if isinstance(answer, defer.Deferred):
-            self._pending_reservation = answer
-            answer.addCallback(self._reserved)
+        result = accounts.reserve(workspace.name, tokens, self.priority, retry_tokens)
+        if isinstance(result, defer.Deferred):
+            self._pending_reservation = result
+            result.addCallback(self._reserved)
         else:
-            self._reserved(answer)
+            self._reserved(result)
 
-    def _reserved(self, answer) -> None:
+    def _reserved(self, result) -> None:
         self._pending_reservation = None
-        if isinstance(answer, BudgetRefusal):
+        if isinstance(result, BudgetRefusal):
             if self._ended:
                 return
-            if answer is BudgetRefusal.EXHAUSTED:
+            if result is BudgetRefusal.EXHAUSTED:
                 self._refuse(402, Reason.BUDGET_EXHAUSTED)
             else:
                 self._refuse(503, Reason.BUDGET_UNREACHABLE)
             return
-        self._reservation = answer
+        self._reservation = result
         if self._ended:
             self._settle(0)
             return
-        self._gather_body()
+        self._receive_body()
 
     # Request body.
 
-    def _gather_body(self) -> None:
+    def _receive_body(self) -> None:
         self._request.attach(self._body_received, self._body_ended)
 
     def _body_received(self, data: bytes) -> None:
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -55,11 +55,11 @@
     harness.ready()
     harness.ask(headers=((b"Deadline-Ms", b"9000"),))
     harness.ask(headers=((b"Deadline-Ms", b"500"),))
-    left = [
+    remaining_ms = [
         int(header_value(request.headers, DIALECT.deadline_ms)) for request in endpoint.requests
     ]
-    assert 1_900 < left[0] <= 2_000
-    assert 400 < left[1] <= 500
+    assert 1_900 < remaining_ms[0] <= 2_000
+    assert 400 < remaining_ms[1] <= 500
 
 
 def test_unknown_route_and_key_are_refused_while_the_configuration_is_confirmed():
