--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -52,7 +52,7 @@
     def take_left_out(self):
         return 0
 
-    def with_event(self, event):
+    def of(self, event):
         return [line for line in self.lines if line["event"] == event]
 
 
--- a/turnward/gateway/tests/test_builds_side_by_side.py
+++ b/turnward/gateway/tests/test_builds_side_by_side.py
@@ -194,7 +194,7 @@
     harness.network.advance(3.0)
     first = harness.gateways[0]
     assert first.peers.refused_count >= 5
-    (line,) = harness.logs[0].with_event("peer.unreadable")
+    (line,) = harness.logs[0].of("peer.unreadable")
     assert (line["host"], line["layout"]) == (harness.machines[1].host, 3)
 
 
@@ -206,5 +206,5 @@
     for junk in (b"", b"\xff\x00", b"[]", msgspec.msgpack.encode(["digest", 6])):
         exchange.datagramReceived(junk, ("10.9.9.9", 1))
     assert harness.gateways[0].peers.refused_count == 4
-    (line,) = harness.logs[0].with_event("peer.unreadable")
+    (line,) = harness.logs[0].of("peer.unreadable")
     assert line["layout"] is None
--- a/turnward/gateway/tests/test_crashing_requests.py
+++ b/turnward/gateway/tests/test_crashing_requests.py
@@ -70,11 +70,11 @@
     hold_back(play)
     ended = {crash.endpoint_id for crash in play.crashes}
     for log in play.harness.logs:
-        (line,) = log.with_event("content.held")
+        (line,) = log.of("content.held")
         assert set(line["endpoints"]) == ended
     refused = play.ask(FATAL)
     assert refused.status == 503
-    assert play.harness.logs[0].with_event("request.ended")[-1]["content"] == line["content"]
+    assert play.harness.logs[0].of("request.ended")[-1]["content"] == line["content"]
 
 
 def test_router_that_starts_later_is_told_what_is_held_back():
@@ -171,7 +171,7 @@
         callers.extend(play.send(b"ask %d" % (turn // 4), turn + n) for n in range(3))
         play.harness.network.advance(0.2)
     play.harness.network.advance(5.0)
-    assert not any(log.with_event("content.held") for log in play.harness.logs)
+    assert not any(log.of("content.held") for log in play.harness.logs)
 
 
 def test_connections_that_are_reset_everywhere_hold_nothing_back():
@@ -186,7 +186,7 @@
                 connection.abortConnection()
         play.harness.network.advance(1.0)
     assert play.ask(b"asked by all").status == 200
-    assert not any(log.with_event("content.held") for log in play.harness.logs)
+    assert not any(log.of("content.held") for log in play.harness.logs)
 
 
 @pytest.mark.parametrize("size", [7, 24])
@@ -266,9 +266,7 @@
     hold_back(play)
     assert len(play.harness.rows.table("quarantine", "")) == 1
     for gateway in play.harness.gateways:
-        gateway.quarantine.note_served(
-            play.harness.logs[0].with_event("content.held")[0]["content"]
-        )
+        gateway.quarantine.note_served(play.harness.logs[0].of("content.held")[0]["content"])
     play.harness.network.advance(1.0)
     assert not play.harness.rows.table("quarantine", "")
 
@@ -281,7 +279,7 @@
     kill_all(play)
     play.harness.network.advance(0.1)
     assert play.ask(FATAL).status == 503
-    unreadable = play.harness.logs[0].with_event("row.unreadable")
+    unreadable = play.harness.logs[0].of("row.unreadable")
     assert {line["key"] for line in unreadable} == {"bad", "worse"}
 
 
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -104,7 +104,7 @@
     for _ in range(8):
         harness.ask(path=b"/a/%d" % harness._ids)
     # It rests for up to four seconds by now.
-    assert harness.logs[0].with_event("endpoint.lost")
+    assert harness.logs[0].of("endpoint.lost")
     endpoint.behave = answer_ok
     harness.announce(endpoint, born_ms=2_000)
     harness.network.advance(0.2)
@@ -121,4 +121,4 @@
     harness.announce(endpoint, born_ms=1_000)
     harness.ready()
     harness.ask()
-    assert harness.logs[0].with_event("attempt.chosen")[0]["endpoint"] == "e-1@1000"
+    assert harness.logs[0].of("attempt.chosen")[0]["endpoint"] == "e-1@1000"
--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -227,5 +227,5 @@
         headers = harness.prompt(9_000, 9, b"%x:6000,%x:3000" % (number + 1, number + 99))
         harness.send(gateway=0, method=b"POST", body=b"", headers=headers)
     assert (len(harness.endpoints[1].requests) == before) is weighs_pace
-    changed = [line["endpoint"] for line in harness.logs[0].with_event("endpoint.pace")]
+    changed = [line["endpoint"] for line in harness.logs[0].of("endpoint.pace")]
     assert changed == (["e-2"] if weighs_pace else [])
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -93,7 +93,7 @@
     harness.network.advance(0.5)
     assert harness.ask(0).status == 200
     harness.network.advance(KNOWN_S)
-    assert harness.logs[1].with_event("endpoint.told_of")[0]["leaves"]
+    assert harness.logs[1].of("endpoint.told_of")[0]["leaves"]
     endpoint.behave = answer_ok
     assert harness.ask(0).status == 503
     assert harness.ask(1).status == 200
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -139,7 +139,7 @@
     harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 503
     assert not speaking.requests
-    failed = harness.logs[0].with_event("attempt.failed")[0]
+    failed = harness.logs[0].of("attempt.failed")[0]
     assert (failed["how"], failed["sent"]) == ("held", False)
     assert record.in_flight == 0
 
@@ -204,7 +204,7 @@
     play.endpoints[0].draining = True
     play.endpoints[1].rest_s = 2.0
     play.ask_for(1.0)
-    said = {line["endpoint"]: line for line in play.harness.logs[0].with_event("endpoint.said")}
+    said = {line["endpoint"]: line for line in play.harness.logs[0].of("endpoint.said")}
     assert said["e-1"]["hold"] == "leaves"
     assert said["e-1"]["request"].startswith("id-")
     assert said["e-2"]["hold"] == "rests"
@@ -217,7 +217,7 @@
     for per_s in (40.0, 20.0):
         named.limit_per_s = per_s
         play.ask_for(2.0, pause_s=0.02)
-    lines = play.harness.logs[0].with_event("endpoint.limited")
+    lines = play.harness.logs[0].of("endpoint.limited")
     assert [line["limit_per_s"] for line in lines] == [40.0, 20.0]
     assert {line["endpoint"] for line in lines} == {named.endpoint.endpoint_id}
     assert lines[0]["request"].startswith("id-")
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -143,7 +143,7 @@
     harness.endpoint(abort_connection)
     harness.ready()
     assert harness.ask().status == 502
-    assert harness.logs[0].with_event("attempt.not_repeated")[0]["why"] == "no_other_endpoint"
+    assert harness.logs[0].of("attempt.not_repeated")[0]["why"] == "no_other_endpoint"
     assert not harness.gateways[0].forwarder.retry_budget("pool")._repeats
 
 
@@ -677,7 +677,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(harness.gateways[0].endpoints, "choose", lambda *_: 1 / 0)
         assert harness.ask().status == 500
-    assert "ZeroDivisionError" in harness.logs[0].with_event("process.fault")[0]["cause"]
+    assert "ZeroDivisionError" in harness.logs[0].of("process.fault")[0]["cause"]
     assert harness.ask().status == 200
 
 
--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -52,7 +52,7 @@
 
 def alive(harness):
     caller = harness.ask()
-    return caller.status == 200 and not harness.logs[0].with_event("process.fault")
+    return caller.status == 200 and not harness.logs[0].of("process.fault")
 
 
 def fresh(**fields):
@@ -120,7 +120,7 @@
     endpoint.behave = answer_ok
     harness.network.advance(6.0, step_s=0.05)
     assert harness.ask(method=b"POST", body=b"").status == 200
-    assert not harness.logs[0].with_event("process.fault")
+    assert not harness.logs[0].of("process.fault")
 
 
 @FUZZ
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -94,7 +94,7 @@
         for gateway in harness.gateways:
             gateway.book.add_member(f"10.8.0.{number}:{PEERS_PORT}", "z")
         harness.network.advance(0.2)
-    moved = sum(len(log.with_event("prepaid.returned")) for log in harness.logs)
+    moved = sum(len(log.of("prepaid.returned")) for log in harness.logs)
     committed = sum(g.accounts.ledger.committed_tokens("acme") for g in harness.gateways)
     assert (moved, committed) == (0, 0)
 
@@ -171,7 +171,7 @@
     ]
     assert harness.network.advance_until(lambda: all(map(answered, callers)))
     assert [caller.status for caller in callers] == [200] * 4
-    assert not harness.logs[other].with_event("prepaid.taken")
+    assert not harness.logs[other].of("prepaid.taken")
 
 
 def test_holders_are_asked_round_robin():
@@ -180,7 +180,7 @@
     for _ in range(10):
         ask(harness, other, tokens=500)
     lent = [
-        len(log.with_event("prepaid.lent"))
+        len(log.of("prepaid.lent"))
         for log, holder in zip(harness.logs, holds(harness), strict=True)
         if holder
     ]
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -46,9 +46,9 @@
     own = borrower.free_tokens("acme") // 2_020
     assert lender.free_tokens("acme") >= 10 * 2_020
     assert ask_often(harness, 1, own + 4, tokens=2_000) == own + 4
-    assert harness.logs[0].with_event("prepaid.lent")
-    assert harness.logs[1].with_event("prepaid.borrowed")
-    assert harness.logs[1].with_event("prepaid.borrowed")[0]["tokens"] > 0
+    assert harness.logs[0].of("prepaid.lent")
+    assert harness.logs[1].of("prepaid.borrowed")
+    assert harness.logs[1].of("prepaid.borrowed")[0]["tokens"] > 0
 
 
 def test_gateway_without_lenders_rejects_at_once():
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -126,16 +126,14 @@
     harness.ready(gateways=2)
     harness.network.advance(1.0)
     log = harness.logs[0]
-    assert [line["peer"] for line in log.with_event("peer.regained")] == [
-        harness.gateways[1].peers_address
-    ]
+    assert [line["peer"] for line in log.of("peer.regained")] == [harness.gateways[1].peers_address]
     for _ in range(2):
         harness.ask()
-    assert [line["endpoint"] for line in log.with_event("endpoint.lost")] == ["e-1"]
+    assert [line["endpoint"] for line in log.of("endpoint.lost")] == ["e-1"]
     endpoint.behave = answer_ok
     harness.network.advance(6.0)
     assert harness.ask().status == 200
-    assert [line["endpoint"] for line in log.with_event("endpoint.regained")] == ["e-1"]
+    assert [line["endpoint"] for line in log.of("endpoint.regained")] == ["e-1"]
     harness.machines[1].kill()
     harness.network.advance(4.0)
-    assert [line["live"] for line in log.with_event("peer.lost")] == [0]
+    assert [line["live"] for line in log.of("peer.lost")] == [0]
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -60,7 +60,7 @@
     harness.network.advance(6.0)
     statuses = [ask_model(harness, tokens=20_000) for _ in range(12)]
     assert 503 in statuses
-    assert not [line for log in harness.logs for line in log.with_event("prepaid.borrowed")]
+    assert not [line for log in harness.logs for line in log.of("prepaid.borrowed")]
 
 
 @pytest.mark.parametrize(("reports", "returned"), [(True, True), (False, False)])
@@ -75,7 +75,7 @@
     assert harness.network.advance_until(lambda: successor.ready)
     harness.network.advance(2.0)
     assert ask_model(harness, -1) == 200
-    folded = harness.logs[-1].with_event("prepaid.folded")
+    folded = harness.logs[-1].of("prepaid.folded")
     assert folded
     assert (folded[0]["returned"] > 0) is returned
 
@@ -165,7 +165,7 @@
     # More than the 0.8 x (0.2 x 70 + 50) repeats that are allowed in the window.
     for _ in range(70):
         harness.ask()
-    whys = {line["why"] for line in harness.logs[0].with_event("attempt.not_repeated")}
+    whys = {line["why"] for line in harness.logs[0].of("attempt.not_repeated")}
     assert ("repeat_budget_used_up" in whys) is not looks
 
 
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -487,7 +487,7 @@
             pass
         world.step(("time", 0, 0.1))
     answer_all_calls(world, 2.0)
-    return world.routers[0]._log.with_event("prepaid.folded")[0]
+    return world.routers[0]._log.of("prepaid.folded")[0]
 
 
 def test_successor_that_reaches_the_store_late_counts_no_spending_after_its_start():
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -123,7 +123,7 @@
     refusals = [caller for caller in play.callers if caller.status == 503]
     assert {error_reason(caller) for caller in refusals} == {"endpoints_limited"}
     assert all(0.25 <= float(caller.header(b"retry-after")) <= 6.0 for caller in refusals)
-    lines = [line for log in play.harness.logs for line in log.with_event("request.ended")]
+    lines = [line for log in play.harness.logs for line in log.of("request.ended")]
     assert max(line["took_ms"] for line in lines if line["outcome"] == "refused") < 50
 
 
@@ -137,10 +137,8 @@
     before = len(limited.sends)
     play.ask_for(3.0, pause_s=0.05)
     assert len(limited.sends) - before >= 12
-    changes = [line["limit_per_s"] for line in play.harness.logs[0].with_event("endpoint.limited")]
-    changes += [
-        line["limit_per_s"] for line in play.harness.logs[0].with_event("endpoint.told_limit")
-    ]
+    changes = [line["limit_per_s"] for line in play.harness.logs[0].of("endpoint.limited")]
+    changes += [line["limit_per_s"] for line in play.harness.logs[0].of("endpoint.told_limit")]
     assert set(changes) == {1.0, None}
 
 
@@ -175,7 +173,7 @@
     assert len(limited.requests) == 1
     assert sorted(caller.status for caller in callers) == [200] + [503] * 5
     assert record.opening == record.in_flight == 0
-    assert {line["hold"] for line in harness.logs[0].with_event("attempt.failed")} == {"limited"}
+    assert {line["hold"] for line in harness.logs[0].of("attempt.failed")} == {"limited"}
 
 
 def fixed_ranks(rank, members):
@@ -184,7 +182,7 @@
     ranks._book.members_read = True
     for number in range(2, members + 1):
         ranks._book.add_member(f"10.0.0.{number}:1", "z")
-    ranks.with_event = lambda key: rank
+    ranks.of = lambda key: rank
     return ranks
 
 
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -73,7 +73,7 @@
         caller = harness.ask(gateway=-1 - turn % 2, method=b"POST", body=b"", headers=headers)
         served += caller.status == 200
     assert served == 8
-    assert not [line for log in harness.logs for line in log.with_event("prepaid.fault")]
+    assert not [line for log in harness.logs for line in log.of("prepaid.fault")]
 
 
 def test_gateway_started_during_a_store_outage_gets_its_state_from_a_peer():
--- a/turnward/gateway/tests/test_store_returns.py
+++ b/turnward/gateway/tests/test_store_returns.py
@@ -140,7 +140,7 @@
     play.go_back(5.0)
     play.run_traffic(3.0)
     for log in play.harness.logs:
-        assert [line["era"] for line in log.with_event("store.returned")] == [1]
+        assert [line["era"] for line in log.of("store.returned")] == [1]
 
 
 @pytest.mark.parametrize("age_s", [0.5, 2.0, 5.0, 10.0])
--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -134,8 +134,8 @@
     play = TokenPlay(2, prepaid=250_000)
     play.harness.network.advance(1.0)
     play.run_traffic(9.0, 1 / 8)
-    taken = len(play.harness.logs[0].with_event("prepaid.taken"))
-    while len(play.harness.logs[0].with_event("prepaid.taken")) == taken:
+    taken = len(play.harness.logs[0].of("prepaid.taken"))
+    while len(play.harness.logs[0].of("prepaid.taken")) == taken:
         play.run_traffic(0.05, 0.05)
     play.harness.network.advance(0.05)
     play.restart(0, after_s=60.0)
@@ -148,9 +148,9 @@
     """A router that died with the lost seconds had told the others what its row said."""
     play = unclaimed_play()
     assert play.used_tokens <= play.prepaid
-    assert [
-        line["unattributed"] > 0 for line in play.harness.logs[1].with_event("prepaid.restored")
-    ] == [True]
+    assert [line["unattributed"] > 0 for line in play.harness.logs[1].of("prepaid.restored")] == [
+        True
+    ]
 
 
 def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
