--- a/turnward/gateway/retries.py
+++ b/turnward/gateway/retries.py
@@ -39,7 +39,7 @@
         self._rule = rule
         self._clock = clock
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def note_request(self) -> None:
         """Count a request's first send."""
@@ -49,12 +49,12 @@
     def take(self, routers: int) -> bool:
         """Use one repeat; False when this router's part is used up."""
         self._forget(self._requests)
-        self._forget(self._repeats)
+        self._forget(self._retries)
         fixed = self._rule.slack / max(1, routers)
         allowed = _SAFETY * (self._rule.ratio * len(self._requests) + fixed)
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(self._clock())
+        self._retries.append(self._clock())
         return True
 
     def _forget(self, times: deque[float]) -> None:
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -144,7 +144,7 @@
     harness.ready()
     assert harness.ask().status == 502
     assert harness.logs[0].of("attempt.not_repeated")[0]["why"] == "no_other_endpoint"
-    assert not harness.gateways[0].forwarder.retry_budget("pool")._repeats
+    assert not harness.gateways[0].forwarder.retry_budget("pool")._retries
 
 
 def test_error_of_only_endpoint_is_forwarded_unchanged():
