--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -211,7 +211,7 @@
         self.logs: list[ListLog] = []
         self.endpoints: list[Endpoint] = []
         self._callers = 0
-        self._ids = 0
+        self._request_count = 0
         self._version = 0
         self.configuration = Configuration(
             version=1,
@@ -316,8 +316,8 @@
         self, method=b"GET", path=b"/a/x", body=None, key=KEY, request_id=None, headers=()
     ):
         """Return a request's bytes."""
-        self._ids += 1
-        request_id = request_id or b"id-%d" % self._ids
+        self._request_count += 1
+        request_id = request_id or b"id-%d" % self._request_count
         lines = [method + b" " + path + b" HTTP/1.1", b"Host: " + HOST]
         lines.append(b"Request-Id: " + request_id)
         if key is not None:
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -102,7 +102,7 @@
     harness.announce(endpoint, born_ms=1_000)
     harness.ready()
     for _ in range(8):
-        harness.ask(path=b"/a/%d" % harness._ids)
+        harness.ask(path=b"/a/%d" % harness._request_count)
     # It rests for up to four seconds by now.
     assert harness.logs[0].of("endpoint.lost")
     endpoint.behave = answer_ok
