--- a/turnward/gateway/availability.py
+++ b/turnward/gateway/availability.py
@@ -1,17 +1,18 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Whether one start of an endpoint takes work, by its own word and by what this router guesses.
-
-Its own word to this router binds: an endpoint that leaves, that wants rest, or whose address
-answers as another one, is sent nothing, whatever else is left. Guesses after failures, and what it
-said to other routers, only put it last. No weaker word ends a stronger one, in whatever order they
-come:
-
-- *leaves*, by an answer, lasts as long as this start: an entry that says otherwise may have been
-  written before, and two clocks can't tell. By the entry alone it ends with the entry's next
-  version, since the store tells which of two versions is later.
-- *gone* was said by the process that has the address now. It ends with a changed entry, and
-  after a while becomes a guess: a real end takes the entry away by then.
-- *rests* ends with its time; of two wishes the later end counts.
+"""Availability of one endpoint incarnation, from its own feedback and this router's health checks.
+
+Feedback that the endpoint gave this router is binding: while it drains, backs off, or another
+process answers at its address, it is sent nothing. Suspicion after failures, and feedback that the
+endpoint gave other routers, only deprioritizes it. A weaker signal never ends a stronger one, in
+whatever order they arrive:
+
+- *draining* from a response lasts as long as the incarnation; an entry that says otherwise may be
+  older, and the two clocks can't be compared. Draining from the entry alone ends with the entry's
+  next version, because the store orders versions.
+- *replaced* was reported by the process that has the address now. It ends with a changed entry;
+  after some seconds it only deprioritizes the endpoint, as a stopped endpoint's entry is removed
+  by then.
+- *backoff* ends with its time; of several the latest end counts.
 """
 
 from enum import StrEnum
@@ -20,28 +21,25 @@
 
 __all__ = ["Availability", "UnavailableReason"]
 
-#: Seconds an endpoint is put last after failures in a row: the first, and at most.
-_DOUBT_S = 0.5
-_DOUBT_LIMIT_S = 4.0
-#: Seconds an endpoint is put last after it turned requests away: the first, a round of messages
-#: among routers, and at most, which is how late one that has recovered is used again.
-_TURNED_AWAY_S = 0.25
-_TURNED_AWAY_LIMIT_S = 2.0
-#: Failures in a row that put an endpoint last, where single ones may be the request's fault.
-_FAILURES_TO_DOUBT = 2
-#: Seconds for which the word binds that another process has the address: an entry that is not
-#: written any more is gone everywhere by then.
-_GONE_S = 10.0
-#: Seconds for which an endpoint is put last of which another router tells that it leaves: planned
-#: ends take some seconds, and one that serves on for longer is asked itself.
-_ADVICE_S = 60.0
-#: Seconds by which a wish for rest must last longer than the one before to be told as news: those
-#: that were under way when it came are turned away at about the same time.
-_NEWS_S = 0.5
+#: First and longest time an endpoint is suspected after consecutive failures.
+_SUSPECT_S = 0.5
+_SUSPECT_MAX_S = 4.0
+#: First and longest time an endpoint is suspected after it rejected requests.
+_REJECTED_S = 0.25
+_REJECTED_MAX_S = 2.0
+#: Single failures may be caused by the request.
+_FAILURES_TO_SUSPECT = 2
+#: Time within which the entry of a stopped endpoint is removed everywhere.
+_REPLACED_S = 10.0
+#: Time for which an endpoint that told another router that it drains is deprioritized.
+_PEER_DRAINING_S = 60.0
+#: A backoff is reported again only if it ends later than the current one by more than this:
+#: requests in flight when it began are rejected at about the same time.
+_BACKOFF_CHANGE_S = 0.5
 
 
 class UnavailableReason(StrEnum):
-    """Why an endpoint is sent nothing; the strongest first."""
+    """Why an endpoint is sent nothing, strongest reason first."""
 
     REPLACED = "gone"
     DRAINING = "leaves"
@@ -50,158 +48,163 @@
 
 
 class Availability:
-    """Whether one start of an endpoint takes work.
+    """Whether one incarnation of an endpoint accepts requests.
 
     Attributes
     ----------
     entry_draining : bool
-        What its entry says now.
+        Whether its current entry says that it is draining.
     failures : int
-        In a row.
-    lost : bool
-        It failed and has not answered since.
+        Consecutive failures.
+    marked_down : bool
+        Whether it failed and has not responded since.
 
     Examples
     --------
     >>> availability = Availability()
-    >>> availability.heed(EndpointFeedback(rest_s=2.0), now_s=10.0)
-    <Hold.RESTS: 'rests'>
-    >>> availability.hold(11.0), availability.hold(12.5)
-    (<Hold.RESTS: 'rests'>, None)
+    >>> availability.apply_feedback(EndpointFeedback(backoff_s=2.0), now_s=10.0)
+    <UnavailableReason.BACKOFF: 'rests'>
+    >>> availability.unavailable_reason(11.0), availability.unavailable_reason(12.5)
+    (<UnavailableReason.BACKOFF: 'rests'>, None)
     """
 
     __slots__ = (
-        "_advised_until_s",
-        "_doubted_until_s",
-        "_gone_s",
-        "_leaves",
-        "_rest_until_s",
-        "_trial",
-        "_turned_away",
-        "_turned_away_s",
+        "_peer_suspected_until_s",
+        "_suspected_until_s",
+        "_replaced_s",
+        "_draining",
+        "_backoff_until_s",
+        "_probing",
+        "_rejections",
+        "_rejected_s",
         "entry_draining",
         "failures",
-        "lost",
+        "marked_down",
     )
 
     def __init__(self, entry_draining: bool = False):
         self.entry_draining = entry_draining
         self.failures = 0
-        self.lost = False
-        self._leaves = False
-        self._gone_s: float | None = None
-        self._rest_until_s = 0.0
-        self._advised_until_s = 0.0
-        self._doubted_until_s = 0.0
-        self._trial = False
-        self._turned_away = 0
-        self._turned_away_s = 0.0
-
-    # Its own word.
+        self.marked_down = False
+        self._draining = False
+        self._replaced_s: float | None = None
+        self._backoff_until_s = 0.0
+        self._peer_suspected_until_s = 0.0
+        self._suspected_until_s = 0.0
+        self._probing = False
+        self._rejections = 0
+        self._rejected_s = 0.0
+
+    # Feedback of the endpoint to this router.
 
     @property
     def draining(self) -> bool:
-        """Whether its entry or an answer says that it leaves."""
-        return self.entry_draining or self._leaves
+        """Whether its entry or a response says that it is draining."""
+        return self.entry_draining or self._draining
 
     def unavailable_reason(self, now_s: float) -> UnavailableReason | None:
-        """Return why it is sent nothing now, None when it takes work."""
-        if self._gone_s is not None and now_s - self._gone_s < _GONE_S:
+        """Return why it is sent nothing now, None when it is available."""
+        if self._replaced_s is not None and now_s - self._replaced_s < _REPLACED_S:
             return UnavailableReason.REPLACED
         if self.draining:
             return UnavailableReason.DRAINING
-        return UnavailableReason.BACKOFF if now_s < self._rest_until_s else None
+        return UnavailableReason.BACKOFF if now_s < self._backoff_until_s else None
 
     def backoff_left_s(self, now_s: float) -> float:
-        """Return for how long it still wants nothing; 0 if it has not asked for rest."""
-        return max(0.0, self._rest_until_s - now_s)
+        """Return the remaining time of its backoff; 0 if there is none."""
+        return max(0.0, self._backoff_until_s - now_s)
 
     def apply_feedback(
-        self, word: EndpointFeedback, now_s: float, spread: float = 1.0
+        self, feedback: EndpointFeedback, now_s: float, jitter: float = 1.0
     ) -> UnavailableReason | None:
-        """Take in what an answer says; return the hold that is news, None if nothing is.
+        """Apply the feedback of a response; return the reason to report if it is new, else None.
 
         Parameters
         ----------
         spread : float
-            From 1 on; lengthens a rest, so that routers do not all come back at once.
+            Factor of at least 1 for the backoff, so that routers do not all resume at once.
         """
-        news = None
-        if word.rest_s:
-            until_s = now_s + word.rest_s * spread
-            if until_s > self._rest_until_s + _NEWS_S or now_s >= self._rest_until_s:
-                news = UnavailableReason.BACKOFF
-            self._rest_until_s = max(self._rest_until_s, until_s)
-        if word.draining:
-            news = news if self._leaves else UnavailableReason.DRAINING
-            self._leaves = True
-        return news
+        change = None
+        if feedback.backoff_s:
+            until_s = now_s + feedback.backoff_s * jitter
+            if (
+                until_s > self._backoff_until_s + _BACKOFF_CHANGE_S
+                or now_s >= self._backoff_until_s
+            ):
+                change = UnavailableReason.BACKOFF
+            self._backoff_until_s = max(self._backoff_until_s, until_s)
+        if feedback.draining:
+            change = change if self._draining else UnavailableReason.DRAINING
+            self._draining = True
+        return change
 
     def mark_replaced(self, now_s: float) -> None:
-        """Note that another process answers at its address."""
-        self._gone_s = now_s
+        """Record that another process answers at its address."""
+        self._replaced_s = now_s
 
     def apply_entry(self, draining: bool) -> None:
-        """Take in a later version of its entry."""
+        """Apply a later version of its entry."""
         self.entry_draining = draining
-        self._gone_s = None
+        self._replaced_s = None
 
-    # What this router guesses.
+    # Health as this router estimates it.
 
     def is_healthy(self, now_s: float, in_flight: int) -> bool:
-        """Tell whether it need not be put last: it has not just failed, and none advises so."""
-        if self._gone_s is not None or now_s < max(self._doubted_until_s, self._advised_until_s):
+        """Return whether neither failures here nor feedback to other routers deprioritize it."""
+        if self._replaced_s is not None or now_s < max(
+            self._suspected_until_s, self._peer_suspected_until_s
+        ):
             return False
-        # After a while one request at a time tries whether the endpoint is back.
-        return not (self._trial and in_flight)
+        # Once the suspicion ends, one request at a time probes whether the endpoint has recovered.
+        return not (self._probing and in_flight)
 
-    def rejected(self, now_s: float, spread: float = 1.0) -> None:
-        """Note that it turned a request away: it may well do so with the next.
+    def rejected(self, now_s: float, jitter: float = 1.0) -> None:
+        """Record that it rejected a request, and deprioritize it for a while.
 
-        What turns all away has the most free places, and would draw the most.
+        An endpoint that rejects everything has the most free slots and would attract most requests.
         """
-        self._turned_away += 1
-        self._turned_away_s = now_s
-        doubt_s = min(_TURNED_AWAY_LIMIT_S, _TURNED_AWAY_S * 2 ** min(self._turned_away - 1, 5))
-        self._doubted_until_s = max(self._doubted_until_s, now_s + doubt_s * spread)
+        self._rejections += 1
+        self._rejected_s = now_s
+        suspect_s = min(_REJECTED_MAX_S, _REJECTED_S * 2 ** min(self._rejections - 1, 5))
+        self._suspected_until_s = max(self._suspected_until_s, now_s + suspect_s * jitter)
 
     def accepted(self, sent_s: float) -> None:
-        """Note that it runs a request; what was sent before it turned one away tells nothing."""
-        if sent_s > self._turned_away_s:
-            self._turned_away = 0
+        """Record that it runs a request; one sent before the last rejection is ignored."""
+        if sent_s > self._rejected_s:
+            self._rejections = 0
 
-    def apply_peer_feedback(self, draining: bool, rest_s: float, now_s: float) -> None:
-        """Take in what the endpoint said to another router."""
-        lasts_s = _ADVICE_S if draining else rest_s
-        self._advised_until_s = max(self._advised_until_s, now_s + lasts_s)
+    def apply_peer_feedback(self, draining: bool, backoff_s: float, now_s: float) -> None:
+        """Apply feedback that the endpoint gave another router."""
+        duration_s = _PEER_DRAINING_S if draining else backoff_s
+        self._peer_suspected_until_s = max(self._peer_suspected_until_s, now_s + duration_s)
 
     def suspected_for_s(self, now_s: float) -> float:
-        """Return for how long it is put last after failures."""
-        return max(0.0, self._doubted_until_s - now_s)
+        """Return for how long it is still deprioritized after failures or rejections."""
+        return max(0.0, self._suspected_until_s - now_s)
 
     def succeeded(self) -> bool:
-        """Note an answer; True when the endpoint was taken for lost until now."""
-        regained, self.lost = self.lost, False
+        """Record a response; return True if the endpoint was marked down until now."""
+        recovered, self.marked_down = self.marked_down, False
         self.failures = 0
-        self._trial = False
-        return regained
+        self._probing = False
+        return recovered
 
-    def failed(self, now_s: float, certain: bool, spread: float = 1.0) -> bool:
-        """Note a failure; True when the endpoint is taken for lost from now on.
+    def failed(self, now_s: float, certain: bool, jitter: float = 1.0) -> bool:
+        """Record a failure; return True if this marks the endpoint down.
 
         Parameters
         ----------
         certain : bool
-            Whether the endpoint can't be reached at all.
+            Whether the failure is certainly the endpoint's, such as a refused connection.
         spread : float
-            Scales the time for which it is put last, so that routers do not all try again at once.
+            Factor for the time of suspicion, so that routers do not all retry at once.
         """
         self.failures += 1
-        self._trial = False
-        if not certain and self.failures < _FAILURES_TO_DOUBT:
+        self._probing = False
+        if not certain and self.failures < _FAILURES_TO_SUSPECT:
             return False
-        doubt_s = min(_DOUBT_LIMIT_S, _DOUBT_S * 2 ** min(self.failures - 1, 5))
-        self._doubted_until_s = now_s + doubt_s * spread
-        self._trial = True
-        newly_lost, self.lost = not self.lost, True
-        return newly_lost
+        suspect_s = min(_SUSPECT_MAX_S, _SUSPECT_S * 2 ** min(self.failures - 1, 5))
+        self._suspected_until_s = now_s + suspect_s * jitter
+        self._probing = True
+        newly_down, self.marked_down = not self.marked_down, True
+        return newly_down
--- a/turnward/gateway/endpoint_feedback.py
+++ b/turnward/gateway/endpoint_feedback.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What an endpoint says of itself beside an answer: that it leaves, wants rest, bears a rate."""
+"""Feedback of an endpoint in its response headers: draining, ``Retry-After``, rate limit."""
 
 import re
 from collections.abc import Iterable
@@ -13,63 +13,62 @@
 
 __all__ = ["EndpointFeedback", "parse_limit_per_s", "parse_retry_after_s", "parse_feedback"]
 
-#: Statuses whose ``Retry-After`` tells for how long the endpoint wants nothing (RFC 9110, 10.2.3;
-#: RFC 6585, 4).
-_REST_STATUSES = frozenset((429, 503))
-#: The answerer is not the endpoint that was meant: what it says is not the endpoint's word.
-_OTHER_ENDPOINT = 421
-#: Longest rest that is granted, in seconds: a faulty value would else lose an endpoint for days.
-_REST_LIMIT_S = 3_600.0
-#: Delays in whole seconds by the standard, with a fraction by the users' pages; rates likewise.
+#: Statuses whose ``Retry-After`` asks for a backoff (RFC 9110, 10.2.3; RFC 6585, 4).
+_RETRY_AFTER_STATUSES = frozenset((429, 503))
+#: 421 Misdirected Request: another process responded, so this is not the endpoint's feedback.
+_MISDIRECTED = 421
+#: Keeps a faulty value from excluding an endpoint for days.
+_MAX_BACKOFF_S = 3_600.0
+#: The standard allows whole seconds only; fractions are accepted as an extension.
 _DECIMAL = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
 
 
 class EndpointFeedback(msgspec.Struct, frozen=True):
-    """What one answer says of the endpoint.
+    """Feedback of one response.
 
     Attributes
     ----------
     leaves : bool
-        It ends soon and takes no new work.
-    rest_s : float
-        For how long it wants nothing from this router; 0 when it does not ask for that.
+        The endpoint stops soon and accepts no new requests.
+    backoff_s : float
+        Time for which this router is asked to send nothing; 0 if it is not.
     limit_per_s : float or None
-        The requests a second that it takes from all routers together; None when it names no limit.
+        Requests per second that it accepts from all routers together; None if unlimited.
     """
 
     draining: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     limit_per_s: float | None = None
 
 
-_NO_WORD = EndpointFeedback()
+_NO_FEEDBACK = EndpointFeedback()
 
 
 def parse_feedback(status: int, headers: HeaderList, dialect: Dialect) -> EndpointFeedback | None:
-    """Return what an answer's head says of its endpoint, None when it says nothing.
+    """Return the feedback in a response head, None if there is none.
 
     Examples
     --------
-    >>> parse_feedback(503, [(b"retry-after", b"1.5")], Dialect()).rest_s
+    >>> parse_feedback(503, [(b"retry-after", b"1.5")], Dialect()).backoff_s
     1.5
     >>> parse_feedback(200, [(b"retry-after", b"1.5")], Dialect()) is None
     True
     """
-    if status == _OTHER_ENDPOINT:
+    if status == _MISDIRECTED:
         return None
-    said = header_values(headers, dialect.leaving)
-    draining = any(value.strip() == b"1" for value in said)
-    rest_s = parse_retry_after_s(headers) if status in _REST_STATUSES else 0.0
-    word = EndpointFeedback(
-        draining, rest_s, parse_limit_per_s(header_values(headers, dialect.limit))
+    values = header_values(headers, dialect.leaving)
+    draining = any(value.strip() == b"1" for value in values)
+    backoff_s = parse_retry_after_s(headers) if status in _RETRY_AFTER_STATUSES else 0.0
+    feedback = EndpointFeedback(
+        draining, backoff_s, parse_limit_per_s(header_values(headers, dialect.limit))
     )
-    return None if word == _NO_WORD else word
+    return None if feedback == _NO_FEEDBACK else feedback
 
 
 def parse_limit_per_s(values: Iterable[bytes]) -> float | None:
-    """Return the requests a second that a header's values name, the least of several.
+    """Return the lowest rate limit among a header's values, in requests per second.
 
-    None when there is none, or none that can be read.
+    Returns None if no value can be parsed.
 
     Examples
     --------
@@ -83,10 +82,10 @@
 
 
 def parse_retry_after_s(headers: HeaderList) -> float:
-    """Return the seconds that ``Retry-After`` asks for; 0 when it is missing or unreadable.
+    """Return the delay in ``Retry-After``, in seconds; 0 if it is missing or malformed.
 
-    Of several the longest counts. A date counts from the answer's own ``Date``, never from a clock
-    of this machine.
+    The longest of several values counts. A date is relative to the response's ``Date`` header, not
+    to the local clock.
 
     Examples
     --------
@@ -96,24 +95,24 @@
     0.0
     """
     dates = header_values(headers, b"date")
-    answered = _parse_date(dates[0]) if len(dates) == 1 else None
+    response_date = _parse_date(dates[0]) if len(dates) == 1 else None
     values = header_values(headers, b"retry-after")
-    return max((_value_s(value.strip(), answered) for value in values), default=0.0)
+    return max((_parse_delay_s(value.strip(), response_date) for value in values), default=0.0)
 
 
-def _value_s(value: bytes, answered: datetime | None) -> float:
+def _parse_delay_s(value: bytes, response_date: datetime | None) -> float:
     if _DECIMAL.fullmatch(value):
-        return min(_REST_LIMIT_S, float(value))
+        return min(_MAX_BACKOFF_S, float(value))
     until = _parse_date(value)
-    if until is None or answered is None:
+    if until is None or response_date is None:
         return 0.0
-    return min(_REST_LIMIT_S, max(0.0, (until - answered).total_seconds()))
+    return min(_MAX_BACKOFF_S, max(0.0, (until - response_date).total_seconds()))
 
 
 def _parse_date(value: bytes) -> datetime | None:
     try:
-        found = parsedate_to_datetime(value.decode("ascii"))
+        parsed = parsedate_to_datetime(value.decode("ascii"))
     except (ValueError, TypeError, IndexError, OverflowError):
         return None
-    # A date whose zone is unknown ("-0000") can't be compared with one whose zone is known.
-    return found if found.tzinfo is not None else None
+    # A date of unknown time zone ("-0000") can't be compared with one of a known time zone.
+    return parsed if parsed.tzinfo is not None else None
--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What is told of endpoints: lines for operators, counts, and word to other routers."""
+"""Reports of endpoint changes: log events, metrics and updates to other routers."""
 
 from collections.abc import Callable
 
@@ -16,25 +16,25 @@
 
 
 class EndpointReporter:
-    """Told of each change of what this router takes an endpoint for.
+    """Reports each change of an endpoint's state as this router sees it.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     state : FleetState
-        Knows which version of the entries is in force.
+        Gives the version of the endpoint entries in effect.
     endpoints : EndpointBook
-        Takes in what other routers were told.
+        Endpoints to which feedback from other routers is applied.
     dialect : Dialect
-        Names on the wire.
+        Header names.
     metrics, log
-        Told of changes.
+        Receivers of the reports.
 
     Attributes
     ----------
     words : FeedbackExchange
-        What endpoints said of leaving and rest, here and to others.
+        Feedback to this router and to others, exchanged among routers.
     """
 
     def __init__(
@@ -54,66 +54,68 @@
         self._log = log
         self.words = FeedbackExchange(clock, self.handle_peer_feedback)
 
-    def report_speed_class(self, record: EndpointRecord, pace: EventGaps, usual: EventGaps) -> None:
-        """Tell of an engine that is faster or slower than it was, beside the others of its pool."""
+    def report_speed_class(
+        self, record: EndpointRecord, gaps: EventGaps, usual_gaps: EventGaps
+    ) -> None:
+        """Report an engine whose speed changed relative to the others of its pool."""
         self._log.belief(
             "endpoint.pace",
             endpoint=record.incarnation,
             pool=record.entry.pool,
             pace=record.speed_class.name.lower(),
-            event_gap_ms=round(pace.quiet_gap_ms, 1),
-            usual_gap_ms=round(usual.quiet_gap_ms, 1),
-            usual_held_up_ms=round(usual.held_up_gap_ms, 1),
+            event_gap_ms=round(gaps.quiet_gap_ms, 1),
+            usual_gap_ms=round(usual_gaps.quiet_gap_ms, 1),
+            usual_held_up_ms=round(usual_gaps.held_up_gap_ms, 1),
         )
 
     def report_feedback(
-        self, record: EndpointRecord, hold: UnavailableReason, answer_headers: HeaderList
+        self, record: EndpointRecord, reason: UnavailableReason, response_headers: HeaderList
     ) -> None:
-        """Tell of what an endpoint said in an answer."""
+        """Report the feedback of a response, and announce it to other routers."""
         availability = record.availability
-        rest_s = availability.backoff_left_s(self._clock())
-        self.words.note(record.incarnation, availability.draining, rest_s)
-        self._metrics.endpoint_words.labels(record.entry.pool, hold).inc()
-        request_id = header_value(answer_headers, self._dialect.request_id) or b""
+        backoff_s = availability.backoff_left_s(self._clock())
+        self.words.record(record.incarnation, availability.draining, backoff_s)
+        self._metrics.endpoint_words.labels(record.entry.pool, reason).inc()
+        request_id = header_value(response_headers, self._dialect.request_id) or b""
         self._log.belief(
             "endpoint.said",
             request=request_id.decode("latin-1"),
             endpoint=record.incarnation,
             pool=record.entry.pool,
-            hold=hold,
-            rest_s=round(rest_s, 3),
+            hold=reason,
+            rest_s=round(backoff_s, 3),
             endpoints=self._state.endpoints_version,
         )
 
     def report_rate_limit(
-        self, record: EndpointRecord, per_s: float | None, answer_headers: HeaderList
+        self, record: EndpointRecord, limit_per_s: float | None, response_headers: HeaderList
     ) -> None:
-        """Tell of a rate that an endpoint named in an answer, or names no more."""
-        request_id = header_value(answer_headers, self._dialect.request_id) or b""
+        """Report that a response set or lifted an endpoint's rate limit."""
+        request_id = header_value(response_headers, self._dialect.request_id) or b""
         self._log.belief(
             "endpoint.limited",
             request=request_id.decode("latin-1"),
             endpoint=record.incarnation,
             pool=record.entry.pool,
-            limit_per_s=per_s,
+            limit_per_s=limit_per_s,
             endpoints=self._state.endpoints_version,
         )
 
-    def report_peer_rate_limit(self, incarnation: str, per_s: float | None) -> None:
-        """Tell of a rate that an endpoint named to another router, or names no more."""
-        self._log.belief("endpoint.told_limit", endpoint=incarnation, limit_per_s=per_s)
+    def report_peer_rate_limit(self, incarnation: str, limit_per_s: float | None) -> None:
+        """Report that another router announced a changed rate limit."""
+        self._log.belief("endpoint.told_limit", endpoint=incarnation, limit_per_s=limit_per_s)
 
-    def handle_peer_feedback(self, word: FeedbackUpdate) -> None:
-        """Put an endpoint last of which another router tells that it leaves or wants rest."""
-        record = self._endpoints.get(word.endpoint)
+    def handle_peer_feedback(self, update: FeedbackUpdate) -> None:
+        """Deprioritize an endpoint that drains or backs off according to another router."""
+        record = self._endpoints.get(update.endpoint)
         if record is None:
             return
-        rest_s = word.rest_left_ms / 1_000
-        record.availability.apply_peer_feedback(word.draining, rest_s, self._clock())
+        backoff_s = update.backoff_left_ms / 1_000
+        record.availability.apply_peer_feedback(update.draining, backoff_s, self._clock())
         self._log.belief(
             "endpoint.told_of",
-            endpoint=word.endpoint,
+            endpoint=update.endpoint,
             pool=record.entry.pool,
-            leaves=word.draining,
-            rest_s=round(rest_s, 3),
+            leaves=update.draining,
+            rest_s=round(backoff_s, 3),
         )
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What endpoints said to some router, told to the others as news.
+"""Exchange of endpoint feedback among routers.
 
-An endpoint tells each router by itself that it leaves or wants rest. In a fleet of 300 routers each
-would send it one request in vain to hear so. Told by another router, the word is advice: the
-endpoint is put last, and still chosen where nothing else is left. It never binds, since the rest
-was asked of another router, and it never makes an endpoint gone.
+An endpoint tells each router separately that it drains or asks for backoff, so every router of a
+fleet would send it one useless request to find out. Feedback received from another router is
+advisory: the endpoint is deprioritized, but still chosen if no other is left, because the backoff
+was asked of that other router only.
 """
 
 from collections import OrderedDict
@@ -14,103 +14,102 @@
 
 __all__ = ["FeedbackUpdate", "FeedbackExchange"]
 
-#: Seconds for which a word is told after it was learnt: many rounds of messages, most of which may
-#: be lost.
-_NEWS_S = 5.0
-#: Most words in one message, which bounds its size.
-_TOLD_LIMIT = 32
-#: Words remembered so that none is taken for news again when it comes back from others.
-_KNOWN_LIMIT = 1_000
-#: Seconds by which a rest must end later than known to be news; ages leave out the way.
-_LATER_S = 0.5
+#: Covers many rounds of messages, most of which may be lost.
+_ANNOUNCE_S = 5.0
+#: Bounds the size of a message.
+_MAX_UPDATES = 32
+#: Endpoints remembered, so that an update that comes back from peers is not announced again.
+_MAX_KNOWN = 1_000
+#: A backoff counts as new only if it ends later than known by more than the transit time.
+_MIN_EXTENSION_S = 0.5
 
 
 class FeedbackUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What an endpoint said to some router.
+    """Feedback that an endpoint gave some router; array on the wire.
 
     Attributes
     ----------
     endpoint : str
-        The incarnation.
+        Incarnation.
     leaves : bool
-        It said that it leaves.
-    rest_left_ms : int
-        For how long it still wants rest, as of when this is sent; 0: it does not.
+        Whether it is draining.
+    backoff_left_ms : int
+        Remaining backoff when the message is sent; 0 if there is none.
     """
 
     endpoint: str
     draining: bool
-    rest_left_ms: int
+    backoff_left_ms: int
 
 
 class _Known(msgspec.Struct):
-    """A word, by the own clock."""
+    """Last known feedback of an endpoint, on the local clock."""
 
     draining: bool = False
-    rest_until_s: float = 0.0
-    learnt_s: float = 0.0
+    backoff_until_s: float = 0.0
+    updated_s: float = 0.0
 
 
 class FeedbackExchange:
-    """The words that one router has heard, from endpoints and from other routers.
+    """The feedback that one router received, from endpoints and from other routers.
 
     Parameters
     ----------
     clock : callable
         Steady clock in seconds.
-    on_told : callable
-        Called with each ``FeedbackUpdate`` of another router that is news.
+    on_update : callable
+        Called with each ``FeedbackUpdate`` of another router that is new.
 
     Examples
     --------
-    >>> news = FeedbackExchange(lambda: 0.0, print)
-    >>> news.note("e-1", leaves=False, rest_s=2.0)
-    >>> news.words()
-    (FeedbackUpdate(endpoint='e-1', leaves=False, rest_left_ms=2000),)
-    >>> news.take_in([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
-    FeedbackUpdate(endpoint='e-2', leaves=True, rest_left_ms=0)
+    >>> exchange = FeedbackExchange(lambda: 0.0, print)
+    >>> exchange.record("e-1", draining=False, backoff_s=2.0)
+    >>> exchange.words()
+    (FeedbackUpdate(endpoint='e-1', draining=False, backoff_left_ms=2000),)
+    >>> exchange.take_in([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
+    FeedbackUpdate(endpoint='e-2', draining=True, backoff_left_ms=0)
     """
 
-    def __init__(self, clock: Callable[[], float], on_told: Callable[[FeedbackUpdate], None]):
+    def __init__(self, clock: Callable[[], float], on_update: Callable[[FeedbackUpdate], None]):
         self._clock = clock
-        self._on_told = on_told
-        #: In the order in which something was last learnt.
+        self._on_update = on_update
+        #: By incarnation, least recently updated first.
         self._known: OrderedDict[str, _Known] = OrderedDict()
 
-    def note(self, endpoint: str, draining: bool, rest_s: float) -> None:
-        """Note what an endpoint said to this router."""
-        self._learn(endpoint, draining, rest_s)
+    def record(self, endpoint: str, draining: bool, backoff_s: float) -> None:
+        """Record feedback that an endpoint gave this router."""
+        self._merge(endpoint, draining, backoff_s)
 
-    def take_in(self, words: Iterable[FeedbackUpdate]) -> None:
-        """Take in what another router tells."""
-        for word in words:
-            if self._learn(word.endpoint, word.draining, word.rest_left_ms / 1_000):
-                self._on_told(word)
+    def take_in(self, updates: Iterable[FeedbackUpdate]) -> None:
+        """Merge updates of another router."""
+        for update in updates:
+            if self._merge(update.endpoint, update.draining, update.backoff_left_ms / 1_000):
+                self._on_update(update)
 
     def words(self) -> tuple[FeedbackUpdate, ...]:
-        """Return what others are told: what was learnt lately, the newest first."""
+        """Return the recent updates to announce, newest first."""
         now_s = self._clock()
-        told = []
+        updates = []
         for endpoint, known in reversed(self._known.items()):
-            if known.learnt_s < now_s - _NEWS_S or len(told) == _TOLD_LIMIT:
+            if known.updated_s < now_s - _ANNOUNCE_S or len(updates) == _MAX_UPDATES:
                 break
-            rest_left_ms = max(0, round((known.rest_until_s - now_s) * 1_000))
-            if known.draining or rest_left_ms:
-                told.append(FeedbackUpdate(endpoint, known.draining, rest_left_ms))
-        return tuple(told)
+            backoff_left_ms = max(0, round((known.backoff_until_s - now_s) * 1_000))
+            if known.draining or backoff_left_ms:
+                updates.append(FeedbackUpdate(endpoint, known.draining, backoff_left_ms))
+        return tuple(updates)
 
-    def _learn(self, endpoint: str, draining: bool, rest_s: float) -> bool:
-        """Take in a word; False when it was known."""
+    def _merge(self, endpoint: str, draining: bool, backoff_s: float) -> bool:
+        """Merge feedback; return False if it was known."""
         now_s = self._clock()
         known = self._known.setdefault(endpoint, _Known())
-        until_s = now_s + rest_s
-        longer = rest_s > 0 and until_s > known.rest_until_s + _LATER_S
+        until_s = now_s + backoff_s
+        longer = backoff_s > 0 and until_s > known.backoff_until_s + _MIN_EXTENSION_S
         if not longer and (known.draining or not draining):
             return False
         known.draining = known.draining or draining
-        known.rest_until_s = max(known.rest_until_s, until_s if rest_s else 0.0)
-        known.learnt_s = now_s
+        known.backoff_until_s = max(known.backoff_until_s, until_s if backoff_s else 0.0)
+        known.updated_s = now_s
         self._known.move_to_end(endpoint)
-        while len(self._known) > _KNOWN_LIMIT:
+        while len(self._known) > _MAX_KNOWN:
             self._known.popitem(last=False)
         return True
--- a/turnward/gateway/retries.py
+++ b/turnward/gateway/retries.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The fleet's budget of repeated sends, kept by each router for its own part.
+"""The fleet's retry budget, of which each router enforces its own share.
 
-In any window, the sends beyond the first of each request stay under a share of
-the requests plus a fixed number. The fixed number is split evenly over the
-routers that may live, so that no word among them is needed.
+In any window, retries stay below a ratio of the requests plus a fixed slack. The slack is divided
+evenly among the routers that may be live, so that they need no coordination.
 """
 
 from collections import deque
@@ -13,12 +12,12 @@
 
 __all__ = ["RetryBudgetShare", "RetryBudgetRule"]
 
-#: Part of what is allowed that is used, as windows of different routers differ.
-_SAFETY = 0.8
+#: Leaves a margin, because the windows of different routers are not aligned.
+_SAFETY_FACTOR = 0.8
 
 
 class RetryBudgetRule(msgspec.Struct, frozen=True):
-    """How many repeats the fleet may send to one pool in a window."""
+    """How many retries the fleet may send to one pool in a window."""
 
     ratio: float = 0.2
     window_s: float = 10.0
@@ -26,7 +25,7 @@
 
 
 class RetryBudgetShare:
-    """One router's part of the budget towards one pool.
+    """One router's share of the retry budget for one pool.
 
     Examples
     --------
@@ -39,25 +38,25 @@
         self._rule = rule
         self._clock = clock
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def note_request(self) -> None:
-        """Count a request's first send."""
-        self._forget(self._requests)
+        """Count the first attempt of a request."""
+        self._evict(self._requests)
         self._requests.append(self._clock())
 
     def take(self, routers: int) -> bool:
-        """Use one repeat; False when this router's part is used up."""
-        self._forget(self._requests)
-        self._forget(self._repeats)
-        fixed = self._rule.slack / max(1, routers)
-        allowed = _SAFETY * (self._rule.ratio * len(self._requests) + fixed)
-        if len(self._repeats) + 1 > allowed:
+        """Use one retry; return False if this router's share is used up."""
+        self._evict(self._requests)
+        self._evict(self._retries)
+        slack = self._rule.slack / max(1, routers)
+        allowed = _SAFETY_FACTOR * (self._rule.ratio * len(self._requests) + slack)
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(self._clock())
+        self._retries.append(self._clock())
         return True
 
-    def _forget(self, times: deque[float]) -> None:
-        since_s = self._clock() - self._rule.window_s
-        while times and times[0] < since_s:
+    def _evict(self, times: deque[float]) -> None:
+        cutoff_s = self._clock() - self._rule.window_s
+        while times and times[0] < cutoff_s:
             times.popleft()
--- a/turnward/gateway/retry_after.py
+++ b/turnward/gateway/retry_after.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""When callers whose requests are refused are told to come back."""
+"""The ``Retry-After`` that refused callers are given."""
 
 import math
 import random
@@ -11,10 +11,9 @@
 
 __all__ = ["RetryAfterEstimator"]
 
-#: By what the time to come back is scaled when a pool refuses, so that callers do not all come at
-#: the same moment. Cold endpoints bear some requests before they are warm; others bear none before
-#: they open.
-_SPREAD = {
+#: Range of the random factor by reason, so that callers do not all retry at once. Only for cold
+#: endpoints may it shorten the delay, as they serve some requests while they warm up.
+_JITTER = {
     Reason.ENDPOINTS_COLD: (0.5, 1.5),
     Reason.ENDPOINTS_FULL: (1.0, 1.5),
     Reason.ENDPOINTS_RESTING: (1.0, 1.5),
@@ -24,53 +23,53 @@
 
 
 class RetryAfterEstimator:
-    """When another try may be served, by why and where one was refused.
+    """Estimates when a refused request may be served, by reason and pool.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     endpoints : EndpointBook
-        Tells when a pool opens that takes no work at all.
+        Gives when a pool without any available endpoint is available again.
     draw : random.Random
-        Spreads callers.
-    least_s : float
-        What callers are told where nothing is known, and at least.
+        Source of the jitter.
+    min_s : float
+        Minimum, and the value where nothing is known.
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
         endpoints: EndpointBook,
-        draw: random.Random,
-        least_s: float,
+        rng: random.Random,
+        min_s: float,
     ):
         self._clock = clock
         self._endpoints = endpoints
-        self._draw = draw
-        self._least_s = least_s
-        self._spells: dict[str, OverloadPeriod] = {}
+        self._rng = rng
+        self._min_s = min_s
+        self._overloads: dict[str, OverloadPeriod] = {}
 
     def retry_after_s(self, reason: Reason, pool: str, excess_s: float = 0.0) -> float:
-        """Return the time to tell, rounded up to hundredths.
+        """Return the delay for the caller, rounded up to hundredths of a second.
 
         Parameters
         ----------
         excess_s : float
-            By how much the pool's queue was too long.
+            Time by which the pool's queue exceeds its limit.
         """
-        spread = _SPREAD.get(reason)
-        if spread is None:
-            return self._least_s
-        wait_s = self._opens_in_s(reason, pool, excess_s) * self._draw.uniform(*spread)
-        return math.ceil(100 * max(self._least_s, wait_s)) / 100
+        jitter = _JITTER.get(reason)
+        if jitter is None:
+            return self._min_s
+        wait_s = self._refused_for_s(reason, pool, excess_s) * self._rng.uniform(*jitter)
+        return math.ceil(100 * max(self._min_s, wait_s)) / 100
 
-    def _opens_in_s(self, reason: Reason, pool: str, excess_s: float) -> float:
-        """Return for how long the pool is likely to refuse."""
+    def _refused_for_s(self, reason: Reason, pool: str, excess_s: float) -> float:
+        """Return how long the pool is likely to refuse requests."""
         shortage = self._endpoints.shortage(pool)
         opens_in_s = shortage.opens_in_s if shortage is not None else 0.0
-        known_s = opens_in_s if math.isfinite(opens_in_s) else 0.0
+        pool_wait_s = opens_in_s if math.isfinite(opens_in_s) else 0.0
         if reason is Reason.ENDPOINTS_COLD:
-            return known_s
-        spell = self._spells.setdefault(pool, OverloadPeriod(self._clock))
-        return max(known_s, excess_s, spell.note_refused())
+            return pool_wait_s
+        overload = self._overloads.setdefault(pool, OverloadPeriod(self._clock))
+        return max(pool_wait_s, excess_s, overload.note_refused())
--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Endpoints that say in their answers that they leave or want rest, on the network in memory."""
+"""Simulation of routers and endpoints that send feedback, on the in-memory network."""
 
 from collections import Counter
 
@@ -7,129 +7,133 @@
 
 from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, answered
 
-__all__ = ["SimulatedEndpoint", "WordPlay", "max_in_window"]
+__all__ = ["SimulatedEndpoint", "FeedbackSimulation", "max_in_window"]
 
-#: Seconds after a word within which sends may still arrive that were on their way.
-ON_ITS_WAY_S = 0.5
-#: Seconds for which a request runs.
-RUN_S = 0.05
+#: Time after feedback within which requests already in flight may still arrive.
+IN_FLIGHT_S = 0.5
+RESPONSE_TIME_S = 0.05
 
 
 class Send(msgspec.Struct, frozen=True):
-    """A request that reached an endpoint, and from which process of a router."""
+    """A request that reached an endpoint, and the router process that sent it."""
 
     time_s: float
     router: str
 
 
 class SimulatedEndpoint:
-    """An endpoint whose answers tell what it wants.
+    """An endpoint whose responses carry feedback.
 
     Attributes
     ----------
-    leaves : bool
-        Whether its answers say that it leaves.
-    rest_s : float
-        What it asks for as it turns requests away; 0: it runs them.
-    sheds : bool
-        Whether it turns requests away without asking for rest.
+    draining : bool
+        Whether its responses say that it is draining.
+    backoff_s : float
+        Backoff in its rejections; 0: it accepts requests.
+    rejects : bool
+        Whether it rejects requests without asking for a backoff.
     limit_per_s : float or None
-        The rate that its answers name; None: they name none.
+        Rate limit in its responses; None: they have none.
     sends : list of Send
-        What reached it.
-    left_s, rests, limited_s : dict
-        By process of a router: when it was first told that the endpoint leaves; from when until
-        when it was asked for rest; when it was first told of a limit.
+        Requests that reached it.
+    told_draining_s, backoffs, told_limit_s : dict
+        By router process: when it was first told that the endpoint is draining; begin and end of
+        each backoff asked of it; when it was first told of a limit.
     """
 
-    def __init__(self, play: "WordPlay", zone: str = "z"):
-        self._play = play
+    def __init__(self, simulation: "FeedbackSimulation", zone: str = "z"):
+        self._simulation = simulation
         self.draining = False
-        self.rest_s = 0.0
-        self.sheds = False
+        self.backoff_s = 0.0
+        self.rejects = False
         self.limit_per_s: float | None = None
         self.sends: list[Send] = []
-        self.left_s: dict[str, float] = {}
-        self.rests: dict[str, list[tuple[float, float]]] = {}
-        self.limited_s: dict[str, float] = {}
-        self.endpoint = play.rig.endpoint(self._take, announce=False)
-        play.rig.announce(self.endpoint, zone=zone)
-
-    def _take(self, endpoint, request) -> None:
-        now_s = self._play.now_s
-        router = self._play.process_at(request._connection.transport.getPeer().host)
+        self.told_draining_s: dict[str, float] = {}
+        self.backoffs: dict[str, list[tuple[float, float]]] = {}
+        self.told_limit_s: dict[str, float] = {}
+        self.endpoint = simulation.rig.endpoint(self._receive, announce=False)
+        simulation.rig.announce(self.endpoint, zone=zone)
+
+    def _receive(self, endpoint, request) -> None:
+        now_s = self._simulation.now_s
+        router = self._simulation.process_at(request._connection.transport.getPeer().host)
         self.sends.append(Send(now_s, router))
-        if self.rest_s:
-            self.rests.setdefault(router, []).append((now_s, now_s + self.rest_s))
-            head = [(DIALECT.not_run, b"1"), (b"retry-after", b"%g" % self.rest_s), *self._word()]
-            request.answer(503, head)
+        if self.backoff_s:
+            self.backoffs.setdefault(router, []).append((now_s, now_s + self.backoff_s))
+            response_headers = [
+                (DIALECT.not_run, b"1"),
+                (b"retry-after", b"%g" % self.backoff_s),
+                *self._feedback_headers(),
+            ]
+            request.answer(503, response_headers)
             return
-        if self.sheds:
+        if self.rejects:
             request.answer(503, [(DIALECT.not_run, b"1")])
             return
-        endpoint.machine.callLater(RUN_S, self._answer, request, router)
+        endpoint.machine.callLater(RESPONSE_TIME_S, self._respond, request, router)
 
-    def _answer(self, request, router: str) -> None:
+    def _respond(self, request, router: str) -> None:
         if request.gone:
             return
         if self.draining:
-            self.left_s.setdefault(router, self._play.now_s)
+            self.told_draining_s.setdefault(router, self._simulation.now_s)
         if self.limit_per_s is not None:
-            self.limited_s.setdefault(router, self._play.now_s)
-        request.answer(200, [*answer_head(request), *self._word()], b"fine")
+            self.told_limit_s.setdefault(router, self._simulation.now_s)
+        request.answer(200, [*answer_head(request), *self._feedback_headers()], b"fine")
 
-    def _word(self):
-        word = [(DIALECT.leaving, b"1")] if self.draining else []
+    def _feedback_headers(self):
+        headers = [(DIALECT.leaving, b"1")] if self.draining else []
         if self.limit_per_s is not None:
-            word.append((DIALECT.limit, b"%g" % self.limit_per_s))
-        return word
+            headers.append((DIALECT.limit, b"%g" % self.limit_per_s))
+        return headers
 
-    def late_sends(self) -> int:
-        """Count sends of routers that had been told a while before that it leaves."""
+    def sends_after_draining(self) -> int:
+        """Count requests of routers that had been told before that it is draining."""
         return sum(
-            send.time_s > self.left_s.get(send.router, 1e9) + ON_ITS_WAY_S for send in self.sends
+            send.time_s > self.told_draining_s.get(send.router, 1e9) + IN_FLIGHT_S
+            for send in self.sends
         )
 
-    def most_in_a_rest(self) -> int:
-        """Return the most sends of one router in one rest, those on their way left out."""
+    def max_sends_in_backoff(self) -> int:
+        """Return the most requests of one router in one backoff, without those in flight."""
         return max(
             (
                 sum(
-                    send.router == router and since_s + ON_ITS_WAY_S < send.time_s < until_s
+                    send.router == router and began_s + IN_FLIGHT_S < send.time_s < until_s
                     for send in self.sends
                 )
-                for router, rests in self.rests.items()
-                for since_s, until_s in rests
+                for router, backoffs in self.backoffs.items()
+                for began_s, until_s in backoffs
             ),
             default=0,
         )
 
-    def most_when_limited(self, span_s: float) -> int:
-        """Return the most sends in a sliding span, from a while after a router was first told."""
-        told_s = min(self.limited_s.values(), default=1e9)
-        times = [send.time_s for send in self.sends if send.time_s > told_s + ON_ITS_WAY_S]
+    def max_sends_when_limited(self, span_s: float) -> int:
+        """Return the most requests in a sliding window, once a router was told of the limit."""
+        first_told_s = min(self.told_limit_s.values(), default=1e9)
+        times = [send.time_s for send in self.sends if send.time_s > first_told_s + IN_FLIGHT_S]
         return max_in_window(times, span_s)
 
 
 def max_in_window(times: list[float], span_s: float) -> int:
-    """Return the most of sorted times that lie in a sliding span."""
-    most = first = 0
-    for last, time_s in enumerate(times):
-        while time_s - times[first] >= span_s:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+    """Return the largest number of the sorted times in a sliding window."""
+    largest = start = 0
+    for end, time_s in enumerate(times):
+        while time_s - times[start] >= span_s:
+            start += 1
+        largest = max(largest, end - start + 1)
+    return largest
 
 
-class WordPlay:
-    """A fleet before endpoints that speak.
+class FeedbackSimulation:
+    """Routers in front of endpoints that send feedback.
 
     Parameters
     ----------
     gateways, endpoints : int
-        How many.
+        Number of each.
     fields
-        Of the route.
+        Fields of the route.
     """
 
     def __init__(self, gateways: int, endpoints: int, **fields):
@@ -142,15 +146,15 @@
 
     @property
     def now_s(self) -> float:
-        """The network's time."""
+        """Time of the simulated network."""
         return self.rig.network.clock.seconds()
 
     def process_at(self, host: str) -> str:
-        """Return the name of the process that runs at a router's address now."""
+        """Return the name of the router process that runs at an address now."""
         return f"{host}#{self._starts[host]}"
 
     def note_restart(self, host: str) -> None:
-        """Note that another process runs there from now on, which has been told nothing."""
+        """Record a restart: the new process has received no feedback."""
         self._starts[host] += 1
 
     def add_endpoint(self) -> SimulatedEndpoint:
@@ -159,13 +163,15 @@
         self.endpoints.append(endpoint)
         return endpoint
 
-    def ask_for(self, seconds: float, pause_s: float = 0.1) -> None:
-        """Send a request after each pause, to one gateway after the other."""
-        for number in range(round(seconds / pause_s)):
+    def send_requests(self, duration_s: float, interval_s: float = 0.1) -> None:
+        """Send a request at each interval, to the gateways in turn."""
+        for number in range(round(duration_s / interval_s)):
             self.callers.append(self.rig.send(number % len(self.rig.gateways)))
-            self.rig.network.advance(pause_s)
+            self.rig.network.advance(interval_s)
 
     def statuses(self) -> list[int]:
-        """Wait for all answers and return their statuses."""
-        self.rig.network.advance_until(lambda: all(answered(one) for one in self.callers), 10.0)
+        """Wait for all responses and return their status codes."""
+        self.rig.network.advance_until(
+            lambda: all(answered(caller) for caller in self.callers), 10.0
+        )
         return [caller.status for caller in self.callers]
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one endpoint's words do, in whatever order they come, and what ends them."""
+"""Effect of an endpoint's feedback on its availability, whatever the order, and what ends it."""
 
 from itertools import permutations
 
@@ -17,18 +17,18 @@
 DRAINING = EndpointFeedback(draining=True)
 
 
-def rest(seconds):
+def retry_after(seconds):
     return [(b"retry-after", b"%g" % seconds)]
 
 
 @pytest.fixture
 def world():
-    """Four endpoints that tell when they were born."""
+    """Return four endpoints whose entries name their start time."""
     return World(born_ms=1_000)
 
 
-def speak(world, name, status, headers):
-    """Have an endpoint begin an answer."""
+def respond(world, name, status, headers):
+    """Let an endpoint send a response head."""
     world.book.get(f"{name}@1000").pool.on_head(status, headers)
 
 
@@ -37,16 +37,16 @@
 
 
 def test_strongest_reason_wins_in_any_order_of_feedback():
-    words = [
-        lambda one: one.apply_feedback(DRAINING, 0.0),
-        lambda one: one.apply_feedback(EndpointFeedback(rest_s=5.0), 0.0),
-        lambda one: one.succeeded(),
-        lambda one: one.apply_entry(draining=False),
+    steps = [
+        lambda availability: availability.apply_feedback(DRAINING, 0.0),
+        lambda availability: availability.apply_feedback(EndpointFeedback(backoff_s=5.0), 0.0),
+        lambda availability: availability.succeeded(),
+        lambda availability: availability.apply_entry(draining=False),
     ]
-    for order in permutations(words):
+    for ordering in permutations(steps):
         availability = Availability()
-        for word in order:
-            word(availability)
+        for apply in ordering:
+            apply(availability)
         assert availability.unavailable_reason(1.0) is UnavailableReason.DRAINING
         availability.mark_replaced(1.0)
         assert availability.unavailable_reason(2.0) is UnavailableReason.REPLACED
@@ -54,8 +54,8 @@
 
 def test_shorter_retry_after_or_success_does_not_shorten_a_backoff():
     availability = Availability()
-    availability.apply_feedback(EndpointFeedback(rest_s=4.0), 0.0)
-    availability.apply_feedback(EndpointFeedback(rest_s=0.5), 1.0)
+    availability.apply_feedback(EndpointFeedback(backoff_s=4.0), 0.0)
+    availability.apply_feedback(EndpointFeedback(backoff_s=0.5), 1.0)
     availability.succeeded()
     assert availability.unavailable_reason(3.9) is UnavailableReason.BACKOFF
     assert availability.unavailable_reason(4.0) is None
@@ -64,11 +64,13 @@
 def test_repeated_feedback_is_reported_once():
     availability = Availability()
     assert (
-        availability.apply_feedback(EndpointFeedback(rest_s=3.0), 0.0) is UnavailableReason.BACKOFF
+        availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 0.0)
+        is UnavailableReason.BACKOFF
     )
-    assert availability.apply_feedback(EndpointFeedback(rest_s=3.0), 0.2) is None
+    assert availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 0.2) is None
     assert (
-        availability.apply_feedback(EndpointFeedback(rest_s=3.0), 1.0) is UnavailableReason.BACKOFF
+        availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 1.0)
+        is UnavailableReason.BACKOFF
     )
     assert availability.apply_feedback(DRAINING, 1.0) is UnavailableReason.DRAINING
     assert availability.apply_feedback(DRAINING, 2.0) is None
@@ -76,7 +78,7 @@
 
 @pytest.mark.parametrize("status", [100, 200, 429, 500, 503])
 def test_draining_in_any_response_outlasts_changed_entries(world, status):
-    speak(world, "e-0", status, LEAVING)
+    respond(world, "e-0", status, LEAVING)
     assert chosen(world) == {"e-1", "e-2", "e-3"}
     changed = msgspec.structs.replace(world.entries["e-0"], cold_left_s=1.0)
     world.book.set_entries({**world.entries, "e-0": changed})
@@ -85,7 +87,7 @@
 
 
 def test_draining_outlasts_an_entry_that_expires_and_returns(world):
-    speak(world, "e-0", 200, LEAVING)
+    respond(world, "e-0", 200, LEAVING)
     without(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
@@ -93,7 +95,7 @@
 
 
 def test_backoff_outlasts_an_entry_that_expires_and_returns(world):
-    speak(world, "e-0", 503, rest(5.0))
+    respond(world, "e-0", 503, retry_after(5.0))
     without(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
@@ -104,17 +106,17 @@
 
 def test_restarted_endpoint_takes_requests(world):
     old = world.book.get("e-0@1000").pool
-    speak(world, "e-0", 503, [*LEAVING, *rest(60.0)])
+    respond(world, "e-0", 503, [*LEAVING, *retry_after(60.0)])
     entries = {**world.entries, "e-0": msgspec.structs.replace(world.entries["e-0"], born_ms=2_000)}
     world.book.set_entries(entries)
     assert "e-0" in chosen(world)
-    # A word of the earlier process that comes late is its own.
+    # Late feedback of the earlier process does not apply to the new one.
     old.on_head(200, LEAVING)
     assert "e-0" in chosen(world)
 
 
 def test_new_endpoint_at_a_draining_address_takes_requests(world):
-    speak(world, "e-0", 200, LEAVING)
+    respond(world, "e-0", 200, LEAVING)
     newcomer = msgspec.structs.replace(world.entries["e-0"], endpoint_id="e-9", born_ms=2_000)
     world.book.set_entries({**world.entries, "e-9": newcomer})
     assert "e-9" in chosen(world)
@@ -122,7 +124,7 @@
 
 
 def test_feedback_of_another_process_at_the_address_is_ignored(world):
-    speak(world, "e-0", 421, [*LEAVING, *rest(60.0)])
+    respond(world, "e-0", 421, [*LEAVING, *retry_after(60.0)])
     assert chosen(world) == {"e-0", "e-1", "e-2", "e-3"}
 
 
@@ -136,7 +138,7 @@
 
 def test_endpoint_in_backoff_is_never_chosen_and_the_pool_reports_when_it_ends(world):
     for number, seconds in enumerate((3.0, 2.0, 5.0, 4.0)):
-        speak(world, f"e-{number}", 503, rest(seconds))
+        respond(world, f"e-{number}", 503, retry_after(seconds))
     assert world.choose() is None
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
@@ -149,7 +151,7 @@
 
 def test_pool_of_draining_endpoints_has_no_endpoint(world):
     for number in range(4):
-        speak(world, f"e-{number}", 200, LEAVING)
+        respond(world, f"e-{number}", 200, LEAVING)
     assert world.choose() is None
     assert world.book.shortage("pool").reason is Reason.NO_ENDPOINT
 
@@ -158,7 +160,7 @@
     ends = set()
     for seed in range(20):
         world = World(seed=seed, born_ms=1_000)
-        speak(world, "e-0", 503, rest(4.0))
+        respond(world, "e-0", 503, retry_after(4.0))
         ends.add(round(world.book.get("e-0@1000").availability.backoff_left_s(0.0), 1))
     assert min(ends) >= 4.0
     assert max(ends) <= 5.0
--- a/turnward/gateway/tests/test_endpoint_feedback.py
+++ b/turnward/gateway/tests/test_endpoint_feedback.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What is read of an answer's head about its endpoint."""
+"""Parsing of endpoint feedback from response heads."""
 
 import pytest
 from hypothesis import given
@@ -16,11 +16,11 @@
 DIALECT = Dialect()
 LEAVING = DIALECT.leaving
 LIMIT = DIALECT.limit
-ANSWERED = (b"date", b"Thu, 03 Dec 2026 10:00:00 GMT")
+RESPONSE_DATE = (b"date", b"Thu, 03 Dec 2026 10:00:00 GMT")
 
 
 @pytest.mark.parametrize(
-    ("values", "rest_s"),
+    ("values", "backoff_s"),
     [
         ([], 0.0),
         ([b"3"], 3.0),
@@ -42,9 +42,9 @@
         ([b"Thu, 99 Dec 2026 10:00:04 GMT"], 0.0),
     ],
 )
-def test_parse_retry_after_s(values, rest_s):
-    headers = [ANSWERED, *((b"retry-after", value) for value in values)]
-    assert parse_retry_after_s(headers) == rest_s
+def test_parse_retry_after_s(values, backoff_s):
+    headers = [RESPONSE_DATE, *((b"retry-after", value) for value in values)]
+    assert parse_retry_after_s(headers) == backoff_s
 
 
 def test_retry_after_date_needs_a_date_header():
@@ -76,8 +76,8 @@
 
 @given(st.lists(st.binary(max_size=40), max_size=3))
 def test_parse_limit_per_s_never_raises_or_returns_a_negative_limit(values):
-    found = parse_limit_per_s(values)
-    assert found is None or found >= 0.0
+    limit_per_s = parse_limit_per_s(values)
+    assert limit_per_s is None or limit_per_s >= 0.0
 
 
 @given(st.lists(st.binary(max_size=40), max_size=3), st.binary(max_size=40))
@@ -87,24 +87,24 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "word"),
+    ("status", "headers", "feedback"),
     [
         (200, [], None),
         (200, [(LEAVING, b"1")], EndpointFeedback(draining=True)),
         (100, [(LEAVING, b"1")], EndpointFeedback(draining=True)),
         (500, [(LEAVING, b" 1 ")], EndpointFeedback(draining=True)),
         (200, [(LEAVING, b"0")], None),
-        (503, [(b"retry-after", b"2")], EndpointFeedback(rest_s=2.0)),
-        (429, [(b"retry-after", b"2")], EndpointFeedback(rest_s=2.0)),
+        (503, [(b"retry-after", b"2")], EndpointFeedback(backoff_s=2.0)),
+        (429, [(b"retry-after", b"2")], EndpointFeedback(backoff_s=2.0)),
         (503, [(b"retry-after", b"2"), (LEAVING, b"1")], EndpointFeedback(True, 2.0)),
         (200, [(b"retry-after", b"2")], None),
         (200, [(LIMIT, b"1.5")], EndpointFeedback(limit_per_s=1.5)),
         (503, [(LIMIT, b"0")], EndpointFeedback(limit_per_s=0.0)),
         (200, [(LIMIT, b"-1")], None),
         (421, [(LIMIT, b"1.5")], None),
-        # Another process answers there: what it says is not the endpoint's word.
+        # Another process responded: this is not the endpoint's feedback.
         (421, [(b"retry-after", b"2"), (LEAVING, b"1")], None),
     ],
 )
-def test_parse_feedback(status, headers, word):
-    assert parse_feedback(status, headers, DIALECT) == word
+def test_parse_feedback(status, headers, feedback):
+    assert parse_feedback(status, headers, DIALECT) == feedback
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""An endpoint that starts again under the id that it had has nothing of before."""
+"""A restarted endpoint with an unchanged id inherits nothing from its earlier incarnation."""
 
 import msgspec
 import pytest
@@ -11,8 +11,8 @@
 from turnward.gateway.tests.test_choice import ENGINE, World, prompt
 
 
-def born(world, endpoint_id, born_ms, **changes):
-    """Let an endpoint's entry tell when it was born."""
+def restart(world, endpoint_id, born_ms, **changes):
+    """Change an endpoint's entry to another start time and return its record."""
     entry = world.entries[endpoint_id]
     world.entries[endpoint_id] = msgspec.structs.replace(entry, born_ms=born_ms, **changes)
     world.book.set_entries(world.entries)
@@ -26,33 +26,33 @@
 
 def test_restart_discards_all_endpoint_state(world):
     old = world.book.get("e-0@1000")
-    wanted = prompt("ab")
-    old.remember(wanted, world.now_s)
+    request_prompt = prompt("ab")
+    old.remember(request_prompt, world.now_s)
     old.in_flight = 7
     for _ in range(3):
         old.availability.failed(world.now_s, certain=True)
-    new = born(world, "e-0", 2_000)
+    new = restart(world, "e-0", 2_000)
     assert new is not old
-    assert (new.in_flight, new.availability.failures, new.availability.lost) == (0, 0, False)
+    assert (new.in_flight, new.availability.failures, new.availability.marked_down) == (0, 0, False)
     assert new.availability.suspected_for_s(world.now_s) == 0.0
-    assert new.kept_tokens(wanted, world.now_s) == 0
+    assert new.kept_tokens(request_prompt, world.now_s) == 0
     assert old.pool.closed
     assert world.choose(excluded={"e-1@1000"}) is new
 
 
 def test_restart_at_another_address_is_one_new_endpoint(world):
-    new = born(world, "e-0", 2_000, address="10.0.0.99:80")
+    new = restart(world, "e-0", 2_000, address="10.0.0.99:80")
     assert new.entry.address == "10.0.0.99:80"
     assert len(world.book.all()) == 2
 
 
 def test_changed_entry_without_restart_keeps_endpoint_state(world):
     old = world.book.get("e-0@1000")
-    assert born(world, "e-0", 1_000, slots=9) is old
+    assert restart(world, "e-0", 1_000, slots=9) is old
 
 
 def test_peer_load_of_an_earlier_start_is_ignored(world):
-    born(world, "e-0", 2_000)
+    restart(world, "e-0", 2_000)
     world.loads = {"e-0@1000": EndpointLoad("e-0@1000", 30, 90_000)}
     chosen = {world.choose(prompt("ab"), ENGINE, {"e-1@1000"}).incarnation for _ in range(5)}
     assert chosen == {"e-0@2000"}
@@ -62,7 +62,7 @@
 def test_late_end_of_a_request_at_an_earlier_start_changes_nothing(world):
     old = world.book.get("e-0@1000")
     old.in_flight = 1
-    new = born(world, "e-0", 2_000)
+    new = restart(world, "e-0", 2_000)
     old.in_flight -= 1
     old.availability.failed(world.now_s, certain=True)
     assert (new.in_flight, new.availability.failures) == (0, 0)
@@ -90,8 +90,8 @@
 
 
 def test_entry_without_a_start_time_counts_as_a_restart(world):
-    """Whoever writes it does not know when the process started: nothing of before is trusted."""
-    assert born(world, "e-0", None) is not None
+    """Without a start time the writer can't tell whether it is the same process."""
+    assert restart(world, "e-0", None) is not None
     assert world.book.get("e-0@1000") is None
 
 
@@ -103,7 +103,7 @@
     rig.ready()
     for _ in range(8):
         rig.ask(path=b"/a/%d" % rig._ids)
-    # It rests for up to four seconds by now.
+    # The endpoint is suspected for up to four seconds by now.
     assert rig.logs[0].of("endpoint.lost")
     endpoint.behave = well
     rig.announce(endpoint, born_ms=2_000)
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -1,25 +1,25 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What endpoints said to one router, told to others: news that dies out, and advice only."""
+"""Endpoint feedback among routers: each update spreads, expires, and is advisory only."""
 
 import msgspec
 import pytest
 
 from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
-from turnward.gateway.tests.feedback_simulation import WordPlay
+from turnward.gateway.tests.feedback_simulation import FeedbackSimulation
 from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, well
 
-#: Seconds in which word is with all routers.
-KNOWN_S = 1.0
+#: Time within which an update reaches all routers.
+PROPAGATION_S = 1.0
 
 
 class Fleet:
-    """Routers that tell each other all they may, four times a second."""
+    """Routers that send each other all updates four times a second."""
 
     def __init__(self, count):
         self.now_s = 0.0
-        self.told = []
+        self.received = []
         self.routers = [
-            FeedbackExchange(lambda: self.now_s, self.told.append) for _ in range(count)
+            FeedbackExchange(lambda: self.now_s, self.received.append) for _ in range(count)
         ]
 
     def run(self, seconds):
@@ -27,31 +27,31 @@
             self.now_s += 0.25
             messages = [router.words() for router in self.routers]
             for router in self.routers:
-                for words in messages:
-                    # On their way messages grow older than they tell.
-                    router.take_in(words)
+                for updates in messages:
+                    # Updates do not account for the transit time.
+                    router.take_in(updates)
 
 
-@pytest.mark.parametrize("rest_s", [0.0, 2.0])
-def test_update_reaches_all_routers_once_and_expires(rest_s):
+@pytest.mark.parametrize("backoff_s", [0.0, 2.0])
+def test_update_reaches_all_routers_once_and_expires(backoff_s):
     fleet = Fleet(5)
-    fleet.routers[0].note("e", draining=not rest_s, rest_s=rest_s)
+    fleet.routers[0].record("e", draining=not backoff_s, backoff_s=backoff_s)
     fleet.run(0.5)
-    assert len(fleet.told) == 4
+    assert len(fleet.received) == 4
     fleet.run(30.0)
-    assert len(fleet.told) == 4
+    assert len(fleet.received) == 4
     assert not any(router.words() for router in fleet.routers)
 
 
 def test_longer_backoff_and_draining_are_new_updates():
     fleet = Fleet(2)
-    fleet.routers[0].note("e", draining=False, rest_s=2.0)
+    fleet.routers[0].record("e", draining=False, backoff_s=2.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", draining=False, rest_s=4.0)
+    fleet.routers[0].record("e", draining=False, backoff_s=4.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", draining=True, rest_s=0.0)
+    fleet.routers[0].record("e", draining=True, backoff_s=0.0)
     fleet.run(0.5)
-    assert [(word.draining, word.rest_left_ms > 0) for word in fleet.told] == [
+    assert [(update.draining, update.backoff_left_ms > 0) for update in fleet.received] == [
         (False, True),
         (False, True),
         (True, True),
@@ -61,25 +61,25 @@
 def test_message_is_bounded():
     fleet = Fleet(1)
     for number in range(2_000):
-        fleet.routers[0].note(f"endpoint-{number}@1791507413292", draining=True, rest_s=0.0)
-    words = fleet.routers[0].words()
-    assert len(words) == 32
-    assert len(msgspec.msgpack.encode(words)) < 1_300
+        fleet.routers[0].record(f"endpoint-{number}@1791507413292", draining=True, backoff_s=0.0)
+    updates = fleet.routers[0].words()
+    assert len(updates) == 32
+    assert len(msgspec.msgpack.encode(updates)) < 1_300
     assert len(fleet.routers[0]._known) == 1_000
 
 
 @pytest.mark.parametrize("size", [3, 7, 24])
 def test_other_routers_avoid_an_endpoint_in_backoff(size):
-    play = WordPlay(gateways=size, endpoints=6)
-    resting = play.endpoints[0]
-    resting.rest_s = 5.0
-    while not resting.sends:
-        play.ask_for(0.1, pause_s=0.02)
-    play.rig.network.advance(KNOWN_S)
-    sends = len(resting.sends)
-    play.ask_for(2.0, pause_s=0.02)
-    assert len(resting.sends) == sends
-    assert set(play.statuses()) == {200}
+    simulation = FeedbackSimulation(gateways=size, endpoints=6)
+    backing_off = simulation.endpoints[0]
+    backing_off.backoff_s = 5.0
+    while not backing_off.sends:
+        simulation.send_requests(0.1, interval_s=0.02)
+    simulation.rig.network.advance(PROPAGATION_S)
+    sends = len(backing_off.sends)
+    simulation.send_requests(2.0, interval_s=0.02)
+    assert len(backing_off.sends) == sends
+    assert set(simulation.statuses()) == {200}
 
 
 def test_peer_feedback_never_excludes_an_endpoint():
@@ -92,7 +92,7 @@
     rig.ready(2)
     rig.network.advance(0.5)
     assert rig.ask(0).status == 200
-    rig.network.advance(KNOWN_S)
+    rig.network.advance(PROPAGATION_S)
     assert rig.logs[1].of("endpoint.told_of")[0]["leaves"]
     endpoint.behave = well
     assert rig.ask(0).status == 503
