--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -3,7 +3,7 @@
 
 from turnward.gateway.abandoned_runs import AbandonedRun
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.outcomes import PROMISES_NOT_RUN, Reason
+from turnward.gateway.outcomes import NOT_RUN_STATUSES, Reason
 from turnward.gateway.streams import EventSplitter
 from turnward.http1 import (
     AnswerMatch,
@@ -67,7 +67,7 @@
         owner = self._owner
         now_s = owner.forwarder.reactor.seconds()
         record = self.record
-        kept = record.kept_tokens(owner.prompt, now_s)
+        kept = record.cached_tokens(owner.prompt, now_s)
         self._prefill_tokens = max(0, owner.prompt.tokens - kept)
         record.in_flight += 1
         record.opening += 1
@@ -183,7 +183,7 @@
             return
         self.record.availability.accepted(self.sent_s)
         if status < 300:
-            owner.forwarder.endpoints.note_answer(self.record, self.sent_s, headers)
+            owner.forwarder.endpoints.note_success(self.record, self.sent_s, headers)
         if owner.head_sent:
             return
         if self._splitter is None or status != 200:
@@ -196,7 +196,7 @@
     def _is_genuine(self, status: int, headers: HeaderList, sealed: bool) -> bool:
         if not sealed:
             return False
-        if status in PROMISES_NOT_RUN and self._owner.must_run_once:
+        if status in NOT_RUN_STATUSES and self._owner.must_run_once:
             # Passed on, it would promise what the endpoint did not say.
             return False
         if self._owner.head_sent and status != 200:
--- a/turnward/gateway/endpoint_feedback.py
+++ b/turnward/gateway/endpoint_feedback.py
@@ -56,11 +56,11 @@
     """
     if status == _MISDIRECTED:
         return None
-    values = header_values(headers, dialect.leaving)
+    values = header_values(headers, dialect.draining)
     draining = any(value.strip() == b"1" for value in values)
     backoff_s = parse_retry_after_s(headers) if status in _RETRY_AFTER_STATUSES else 0.0
     feedback = EndpointFeedback(
-        draining, backoff_s, parse_limit_per_s(header_values(headers, dialect.limit))
+        draining, backoff_s, parse_limit_per_s(header_values(headers, dialect.rate_limit))
     )
     return None if feedback == _NO_FEEDBACK else feedback
 
--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, answered
+from turnward.gateway.tests.harness import DIALECT, Harness, answer_head, answered
 
 __all__ = ["SimulatedEndpoint", "FeedbackSimulation", "max_in_window"]
 
@@ -51,8 +51,8 @@
         self.told_draining_s: dict[str, float] = {}
         self.backoffs: dict[str, list[tuple[float, float]]] = {}
         self.told_limit_s: dict[str, float] = {}
-        self.endpoint = simulation.rig.endpoint(self._receive, announce=False)
-        simulation.rig.announce(self.endpoint, zone=zone)
+        self.endpoint = simulation.harness.endpoint(self._receive, announce=False)
+        simulation.harness.announce(self.endpoint, zone=zone)
 
     def _receive(self, endpoint, request) -> None:
         now_s = self._simulation.now_s
@@ -82,9 +82,9 @@
         request.answer(200, [*answer_head(request), *self._feedback_headers()], b"fine")
 
     def _feedback_headers(self):
-        headers = [(DIALECT.leaving, b"1")] if self.draining else []
+        headers = [(DIALECT.draining, b"1")] if self.draining else []
         if self.limit_per_s is not None:
-            headers.append((DIALECT.limit, b"%g" % self.limit_per_s))
+            headers.append((DIALECT.rate_limit, b"%g" % self.limit_per_s))
         return headers
 
     def sends_after_draining(self) -> int:
@@ -137,17 +137,17 @@
     """
 
     def __init__(self, gateways: int, endpoints: int, **fields):
-        self.rig = Rig(**fields)
+        self.harness = Harness(**fields)
         self.endpoints = [SimulatedEndpoint(self) for _ in range(endpoints)]
         self.callers: list = []
         self._starts: Counter[str] = Counter()
-        self.rig.ready(gateways)
-        self.rig.network.advance(0.3)
+        self.harness.ready(gateways)
+        self.harness.network.advance(0.3)
 
     @property
     def now_s(self) -> float:
         """Time of the simulated network."""
-        return self.rig.network.clock.seconds()
+        return self.harness.network.clock.seconds()
 
     def process_at(self, host: str) -> str:
         """Return the name of the router process that runs at an address now."""
@@ -166,12 +166,12 @@
     def send_requests(self, duration_s: float, interval_s: float = 0.1) -> None:
         """Send a request at each interval, to the gateways in turn."""
         for number in range(round(duration_s / interval_s)):
-            self.callers.append(self.rig.send(number % len(self.rig.gateways)))
-            self.rig.network.advance(interval_s)
+            self.callers.append(self.harness.send(number % len(self.harness.gateways)))
+            self.harness.network.advance(interval_s)
 
     def statuses(self) -> list[int]:
         """Wait for all responses and return their status codes."""
-        self.rig.network.advance_until(
+        self.harness.network.advance_until(
             lambda: all(answered(caller) for caller in self.callers), 10.0
         )
         return [caller.status for caller in self.callers]
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -10,10 +10,10 @@
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.outcomes import Reason
-from turnward.gateway.tests.test_choice import World, without
+from turnward.gateway.tests.test_choice import World, omit
 
 DIALECT = Dialect()
-LEAVING = [(DIALECT.leaving, b"1")]
+LEAVING = [(DIALECT.draining, b"1")]
 DRAINING = EndpointFeedback(draining=True)
 
 
@@ -88,7 +88,7 @@
 
 def test_draining_outlasts_an_entry_that_expires_and_returns(world):
     respond(world, "e-0", 200, LEAVING)
-    without(world, 0)
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
@@ -96,7 +96,7 @@
 
 def test_backoff_outlasts_an_entry_that_expires_and_returns(world):
     respond(world, "e-0", 503, retry_after(5.0))
-    without(world, 0)
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
@@ -142,7 +142,7 @@
     assert world.choose() is None
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
-    assert shortage.reason is Reason.ENDPOINTS_RESTING
+    assert shortage.reason is Reason.ENDPOINTS_BACKING_OFF
     assert 2.0 <= shortage.opens_in_s <= 2.0 * 1.25
     world.now_s += 2.0 * 1.25
     assert chosen(world) == {"e-1"}
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -7,7 +7,7 @@
 from turnward.gateway import FleetState
 from turnward.gateway.peer_book import EndpointLoad
 from turnward.gateway.state import EndpointsSnapshot
-from turnward.gateway.tests.rig import Rig, reset, well
+from turnward.gateway.tests.harness import Harness, abort_connection, answer_ok
 from turnward.gateway.tests.test_choice import ENGINE, World, prompt
 
 
@@ -35,9 +35,9 @@
     assert new is not old
     assert (new.in_flight, new.availability.failures, new.availability.marked_down) == (0, 0, False)
     assert new.availability.suspected_for_s(world.now_s) == 0.0
-    assert new.kept_tokens(request_prompt, world.now_s) == 0
+    assert new.cached_tokens(request_prompt, world.now_s) == 0
     assert old.pool.closed
-    assert world.choose(excluded={"e-1@1000"}) is new
+    assert world.choose(omit={"e-1@1000"}) is new
 
 
 def test_restart_at_another_address_is_one_new_endpoint(world):
@@ -96,29 +96,29 @@
 
 
 def test_restarted_endpoint_gets_requests_at_once():
-    rig = Rig(attempts=1)
-    endpoint = rig.endpoint(reset, announce=False)
-    other = rig.endpoint(well)
-    rig.announce(endpoint, born_ms=1_000)
-    rig.ready()
+    harness = Harness(attempts=1)
+    endpoint = harness.endpoint(abort_connection, announce=False)
+    other = harness.endpoint(answer_ok)
+    harness.announce(endpoint, born_ms=1_000)
+    harness.ready()
     for _ in range(8):
-        rig.ask(path=b"/a/%d" % rig._ids)
+        harness.ask(path=b"/a/%d" % harness._ids)
     # The endpoint is suspected for up to four seconds by now.
-    assert rig.logs[0].of("endpoint.lost")
-    endpoint.behave = well
-    rig.announce(endpoint, born_ms=2_000)
-    rig.network.advance(0.2)
+    assert harness.logs[0].with_event("endpoint.lost")
+    endpoint.behave = answer_ok
+    harness.announce(endpoint, born_ms=2_000)
+    harness.network.advance(0.2)
     before = len(endpoint.requests)
     for _ in range(6):
-        assert rig.ask().status == 200
+        assert harness.ask().status == 200
     assert len(endpoint.requests) > before
     assert other.requests
 
 
 def test_log_lines_name_the_incarnation():
-    rig = Rig(attempts=1)
-    endpoint = rig.endpoint(well, announce=False)
-    rig.announce(endpoint, born_ms=1_000)
-    rig.ready()
-    rig.ask()
-    assert rig.logs[0].of("attempt.chosen")[0]["endpoint"] == "e-1@1000"
+    harness = Harness(attempts=1)
+    endpoint = harness.endpoint(answer_ok, announce=False)
+    harness.announce(endpoint, born_ms=1_000)
+    harness.ready()
+    harness.ask()
+    assert harness.logs[0].with_event("attempt.chosen")[0]["endpoint"] == "e-1@1000"
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -14,17 +14,17 @@
 from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.tests.feedback_simulation import FeedbackSimulation
-from turnward.gateway.tests.rig import (
+from turnward.gateway.tests.harness import (
     DIALECT,
     ENGINE_POOL,
-    Rig,
+    Harness,
     answer_head,
+    answer_ok,
     answered,
     dechunk,
-    events,
-    raw,
-    stream,
-    well,
+    encode_events,
+    raw_answer,
+    stream_events,
 )
 from turnward.gateway.tests.test_crashing_requests import trouble
 from turnward.gateway.tests.test_forwarding import reason
@@ -50,13 +50,13 @@
 
 
 def draining_head(request):
-    return [*answer_head(request), (DIALECT.leaving, b"1")]
+    return [*answer_head(request), (DIALECT.draining, b"1")]
 
 
 def draining_stream(endpoint, request):
     """Begin an endless stream whose head says that the endpoint is draining."""
     request.start(200, [*draining_head(request), (b"content-type", b"text/event-stream")], None)
-    request.write(events(1, 1))
+    request.write(encode_events(1, 1))
 
 
 def draining_truncated(endpoint, request):
@@ -71,11 +71,11 @@
 
 
 def draining_rejection(endpoint, request):
-    request.answer(503, [(DIALECT.not_run, b"1"), (DIALECT.leaving, b"1")])
+    request.answer(503, [(DIALECT.not_run, b"1"), (DIALECT.draining, b"1")])
 
 
 def draining_without_an_id(endpoint, request):
-    request.answer(200, [(DIALECT.leaving, b"1")], b"whose")
+    request.answer(200, [(DIALECT.draining, b"1")], b"whose")
 
 
 #: Interim response before the final one.
@@ -90,31 +90,31 @@
         draining_error,
         draining_rejection,
         draining_without_an_id,
-        raw(INFORMATIONAL),
+        raw_answer(INFORMATIONAL),
     ],
 )
 def test_feedback_in_any_kind_of_response_applies_at_once(behave):
-    rig = Rig(time_limit_s=1.0)
-    reporting = rig.endpoint(behave)
-    rig.ready()
-    rig.send()
-    rig.network.advance(0.1)
+    harness = Harness(time_limit_s=1.0)
+    reporting = harness.endpoint(behave)
+    harness.ready()
+    harness.send()
+    harness.network.advance(0.1)
     assert len(reporting.requests) == 1
     for _ in range(5):
-        assert rig.ask().status == 503
+        assert harness.ask().status == 503
     assert len(reporting.requests) == 1
 
 
 def test_feedback_to_an_abandoned_request_applies():
-    rig = Rig(attempts=1)
-    answers = [draining_stream, well]
-    reporting = rig.endpoint(lambda endpoint, request: answers.pop(0)(endpoint, request))
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.1)
+    harness = Harness(attempts=1)
+    answers = [draining_stream, answer_ok]
+    reporting = harness.endpoint(lambda endpoint, request: answers.pop(0)(endpoint, request))
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.1)
     caller.transport.abortConnection()
-    rig.network.advance(0.1)
-    assert rig.ask().status == 503
+    harness.network.advance(0.1)
+    assert harness.ask().status == 503
     assert len(reporting.requests) == 1
 
 
@@ -122,19 +122,19 @@
     "feedback", [EndpointFeedback(draining=True), EndpointFeedback(backoff_s=2.0)]
 )
 def test_request_waiting_for_a_connection_obeys_new_feedback(feedback):
-    rig = Rig()
-    reporting = rig.endpoint(well)
-    rig.ready()
-    record = rig.gateways[0].endpoints.get("e-1")
-    caller = rig.connect()
-    caller.transport.write(rig.request_bytes())
-    rig.network.advance_until(lambda: record.in_flight == 1)
+    harness = Harness()
+    reporting = harness.endpoint(answer_ok)
+    harness.ready()
+    record = harness.gateways[0].endpoints.get("e-1")
+    caller = harness.connect()
+    caller.transport.write(harness.request_bytes())
+    harness.network.advance_until(lambda: record.in_flight == 1)
     assert not reporting.requests
-    record.availability.apply_feedback(feedback, rig.network.clock.seconds())
-    rig.network.advance_until(lambda: answered(caller))
+    record.availability.apply_feedback(feedback, harness.network.clock.seconds())
+    harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 503
     assert not reporting.requests
-    failed = rig.logs[0].of("attempt.failed")[0]
+    failed = harness.logs[0].with_event("attempt.failed")[0]
     assert (failed["how"], failed["sent"]) == ("held", False)
     assert record.in_flight == 0
 
@@ -143,36 +143,36 @@
     "feedback", [EndpointFeedback(draining=True), EndpointFeedback(backoff_s=2.0)]
 )
 def test_broken_stream_resumes_on_an_available_endpoint(feedback):
-    rig = Rig(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
+    harness = Harness(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
     for _ in range(3):
-        rig.endpoint(stream(6, upto=2, then=lambda endpoint, request: None))
-    rig.ready()
-    caller = rig.send()
-    rig.network.advance(0.2)
-    (first,) = (endpoint for endpoint in rig.endpoints if endpoint.requests)
-    reporting, free = (endpoint for endpoint in rig.endpoints if endpoint is not first)
-    now_s = rig.network.clock.seconds()
-    rig.gateways[0].endpoints.get(reporting.endpoint_id).availability.apply_feedback(
+        harness.endpoint(stream_events(6, up_to=2, then=lambda endpoint, request: None))
+    harness.ready()
+    caller = harness.send()
+    harness.network.advance(0.2)
+    (first,) = (endpoint for endpoint in harness.endpoints if endpoint.requests)
+    reporting, free = (endpoint for endpoint in harness.endpoints if endpoint is not first)
+    now_s = harness.network.clock.seconds()
+    harness.gateways[0].endpoints.get(reporting.endpoint_id).availability.apply_feedback(
         feedback, now_s
     )
-    free.behave = stream(6)
+    free.behave = stream_events(6)
     first.requests[0].abort()
-    rig.network.advance_until(lambda: answered(caller))
-    assert dechunk(caller.body) == (events(1, 6), True)
+    harness.network.advance_until(lambda: answered(caller))
+    assert dechunk(caller.body) == (encode_events(1, 6), True)
     assert not reporting.requests
 
 
 def test_slow_upload_goes_to_an_available_endpoint():
-    rig = Rig()
-    reporting, other = rig.endpoint(draining_error), rig.endpoint(well)
-    rig.ready()
-    slow = rig.connect()
-    whole = rig.request_bytes(method=b"POST", body=b"x" * 100)
+    harness = Harness()
+    reporting, other = harness.endpoint(draining_error), harness.endpoint(answer_ok)
+    harness.ready()
+    slow = harness.connect()
+    whole = harness.request_bytes(method=b"POST", body=b"x" * 100)
     slow.transport.write(whole[:-50])
     while not reporting.requests:
-        rig.ask()
+        harness.ask()
     slow.transport.write(whole[-50:])
-    rig.network.advance_until(lambda: answered(slow))
+    harness.network.advance_until(lambda: answered(slow))
     assert slow.status == 200
     assert len(reporting.requests) == 1
     assert len(other.requests) >= 2
@@ -185,7 +185,7 @@
     simulation.send_requests(0.5)
     sends = sum(len(endpoint.sends) for endpoint in simulation.endpoints)
     began_s = simulation.now_s
-    refused = simulation.rig.ask()
+    refused = simulation.harness.ask()
     assert simulation.now_s - began_s < 0.05
     assert refused.status == 503
     assert reason(refused) == "endpoints_resting"
@@ -194,8 +194,8 @@
     assert sum(len(endpoint.sends) for endpoint in simulation.endpoints) == sends
     for endpoint in simulation.endpoints:
         endpoint.backoff_s = 0.0
-    simulation.rig.network.advance(float(refused.header(b"retry-after")))
-    assert simulation.rig.ask().status == 200
+    simulation.harness.network.advance(float(refused.header(b"retry-after")))
+    assert simulation.harness.ask().status == 200
 
 
 def test_log_lines_name_the_feedback_and_its_request():
@@ -203,7 +203,9 @@
     simulation.endpoints[0].draining = True
     simulation.endpoints[1].backoff_s = 2.0
     simulation.send_requests(1.0)
-    reported = {line["endpoint"]: line for line in simulation.rig.logs[0].of("endpoint.said")}
+    reported = {
+        line["endpoint"]: line for line in simulation.harness.logs[0].with_event("endpoint.said")
+    }
     assert reported["e-1"]["hold"] == "leaves"
     assert reported["e-1"]["request"].startswith("id-")
     assert reported["e-2"]["hold"] == "rests"
@@ -216,7 +218,7 @@
     for per_s in (40.0, 20.0):
         limited.limit_per_s = per_s
         simulation.send_requests(2.0, interval_s=0.02)
-    lines = simulation.rig.logs[0].of("endpoint.limited")
+    lines = simulation.harness.logs[0].with_event("endpoint.limited")
     assert [line["limit_per_s"] for line in lines] == [40.0, 20.0]
     assert {line["endpoint"] for line in lines} == {limited.endpoint.endpoint_id}
     assert lines[0]["request"].startswith("id-")
@@ -230,7 +232,7 @@
     # A router retries after 0.25, 0.5, 1 and then every 2 s, by jitter up to a fifth sooner.
     assert len(rejecting.sends) <= 2 * 7
     rejecting.rejects = False
-    simulation.rig.network.advance(2.5)
+    simulation.harness.network.advance(2.5)
     before = len(rejecting.sends)
     simulation.send_requests(2.0, interval_s=0.02)
     assert len(rejecting.sends) - before >= 10
@@ -245,7 +247,7 @@
     assert set(simulation.statuses()) == {503}
     for endpoint in simulation.endpoints:
         endpoint.rejects = False
-    assert simulation.rig.ask().status == 200
+    assert simulation.harness.ask().status == 200
 
 
 class FaultSchedule:
@@ -275,11 +277,11 @@
         return self.simulation.endpoints
 
     def _inject_router_fault(self):
-        rig = self.simulation.rig
+        harness = self.simulation.harness
         kind = self.rng.choice(("frozen", "apart", "restarted", "store"))
-        before = list(rig.gateways)
+        before = list(harness.gateways)
         self.end_fault = trouble(self.simulation, self.rng, kind)
-        for machine, old, new in zip(rig.machines, before, rig.gateways, strict=True):
+        for machine, old, new in zip(harness.machines, before, harness.gateways, strict=True):
             if old is not new:
                 self.simulation.note_restart(machine.host)
 
@@ -288,7 +290,7 @@
         endpoint = self.rng.choice(not_draining)
         changes = ("leave", "leave", "rest", "rest", "shed", "entry", "gone", "back")
         change = self.rng.choice(changes)
-        rows = self.simulation.rig.rows
+        rows = self.simulation.harness.rows
         if change == "leave" and len(not_draining) > 4:
             endpoint.draining = True
             self.simulation.add_endpoint()
@@ -300,7 +302,7 @@
             rows.remove("endpoints", endpoint.endpoint.endpoint_id)
         elif change in ("entry", "back"):
             for announced in self.simulation.endpoints if change == "back" else [endpoint]:
-                self.simulation.rig.announce(announced.endpoint, zone="z", slots=4 + step)
+                self.simulation.harness.announce(announced.endpoint, zone="z", slots=4 + step)
 
 
 @pytest.mark.parametrize("size", [3, 7, 14])
@@ -370,7 +372,7 @@
     reporting = simulation.endpoints[0]
     reporting.draining = True
     for change in range(8):
-        simulation.rig.announce(reporting.endpoint, zone="z", slots=5 + change)
+        simulation.harness.announce(reporting.endpoint, zone="z", slots=5 + change)
         simulation.send_requests(0.5, interval_s=0.05)
     return reporting
 
@@ -382,6 +384,6 @@
         endpoint.backoff_s = 3.0
     for change in range(8):
         for endpoint in simulation.endpoints:
-            simulation.rig.announce(endpoint.endpoint, zone="z", slots=5 + change)
+            simulation.harness.announce(endpoint.endpoint, zone="z", slots=5 + change)
         simulation.send_requests(0.5, interval_s=0.05)
     return max(endpoint.max_sends_in_backoff() for endpoint in simulation.endpoints)
