--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -52,7 +52,7 @@
         self._dialect = dialect
         self._metrics = metrics
         self._log = log
-        self.words = FeedbackExchange(clock, self.handle_peer_feedback)
+        self.feedback_exchange = FeedbackExchange(clock, self.handle_peer_feedback)
 
     def report_speed_class(
         self, record: EndpointRecord, gaps: EventGaps, usual_gaps: EventGaps
@@ -74,7 +74,7 @@
         """Report the feedback of a response, and announce it to other routers."""
         availability = record.availability
         backoff_s = availability.backoff_left_s(self._clock())
-        self.words.record(record.incarnation, availability.draining, backoff_s)
+        self.feedback_exchange.record(record.incarnation, availability.draining, backoff_s)
         self._metrics.endpoint_words.labels(record.entry.pool, reason).inc()
         request_id = header_value(response_headers, self._dialect.request_id) or b""
         self._log.belief(
--- a/turnward/gateway/removed_endpoints.py
+++ b/turnward/gateway/removed_endpoints.py
@@ -27,7 +27,7 @@
     >>> entry = EndpointEntry(endpoint_id="e", pool="p", address="10.0.0.1:80")
     >>> removed = RemovedEndpoints()
     >>> removed.note({"e": entry}, {}, now_s=10.0)
-    >>> removed.begin_return(12.0)
+    >>> removed.begin_rollback_recovery(12.0)
     >>> removed.mark_draining({"e": entry}, now_s=13.0)["e"].leaving
     True
     >>> removed.mark_draining({"e": entry}, now_s=18.0)["e"].leaving
@@ -41,7 +41,7 @@
         self._removed_s: dict[str, float] = {}
         self._recovery_ends_s = 0.0
 
-    def note(
+    def record_view(
         self, before: dict[str, EndpointEntry], after: dict[str, EndpointEntry], now_s: float
     ) -> None:
         """Record which endpoints are draining or removed in a later view of the entries."""
@@ -58,7 +58,7 @@
             if now_s - removed_s < _RETENTION_S
         }
 
-    def begin_return(self, now_s: float) -> None:
+    def begin_rollback_recovery(self, now_s: float) -> None:
         """Record that the store was rolled back to an older copy."""
         self._recovery_ends_s = now_s + REWRITE_PERIOD_S
 
@@ -67,7 +67,7 @@
         for entry in entries:
             self._removed_s.pop(entry.incarnation, None)
 
-    def clear_return(self) -> None:
+    def end_rollback_recovery(self) -> None:
         """Record that all lost rows have been written again."""
         self._recovery_ends_s = 0.0
 
