--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    words : FeedbackExchange
+    feedback_exchange : FeedbackExchange
         Feedback to this router and to others, exchanged among routers.
     """
 
--- a/turnward/gateway/rate_limit.py
+++ b/turnward/gateway/rate_limit.py
@@ -1,206 +1,208 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Rates that endpoints say they bear from all routers together, and this router's part of them.
+"""Rate limits that endpoints announce for all routers together, and this router's share of them.
 
-No router sees alone how much an endpoint gets, so a rate is dealt out among the members of the
-fleet: a few of them, chosen by rendezvous hashing, hold an equal part each and send one request in
-each interval; all others send nothing. In any span that is what the rate allows and one request
-more for each holder, however the routers hear each other, since silent members keep their part.
+No router sees an endpoint's whole load, so a rate is divided among the members of the fleet: a few
+of them, chosen by rendezvous hashing, hold an equal share each and send one request per interval;
+all others send nothing. In any window, the endpoint thus gets at most what the rate allows and one
+request more per holder, even during a network partition, because silent members keep their share.
 
-Routers without a part would not learn that the endpoint names another rate, or none any more. They
-are told by those that hear it, with the age of what was heard; the newest counts. Each word names
-its witness, so that none passes for a new one on its way round: ages leave out the time under way,
-and a word that is passed on for long enough would never grow old.
+Routers without a share would not notice that the limit changed or was lifted. Those that receive it
+from the endpoint announce it to them with its age; the newest wins. Each update names the router
+process that observed it, so that no update is taken for a new one after it was forwarded: ages do
+not include transit times, and an update that is forwarded often enough would never expire.
 
-Where nobody is heard, because the holders are gone or out of reach, a router sends one request
-after a long silence, the longer the later it ranks, so that such requests stay rare beside those of
-the holders.
+If the holders are down or unreachable, a router without a share sends a probe after a long silence.
+The silence grows with the router's rank, which keeps probes rare.
 """
 
 import msgspec
 
 __all__ = ["RateLimit", "RateShare", "ToldLimit"]
 
-#: Least rate that is dealt out, in requests a second. An endpoint that names less, or 0, would
-#: else never be asked again, and nobody would learn that it bears more.
-_LEAST_PER_S = 0.1
-#: Holders of parts: at most as many as the rate allows requests in this span, in seconds, and at
-#: most this many more than it allows a second. More holders use a rate better when requests are few
-#: at each router, and may each send one request more at the same moment.
+#: Lowest rate that is enforced, in requests per second. At 0 no router would ever send a request
+#: and notice that the limit was raised.
+_MIN_RATE_PER_S = 0.1
+#: Number of holders: at most the requests that the rate allows in this time, and at most those that
+#: it allows in a second plus some. More holders use the rate better when each router has few
+#: requests, but each may send one request more at the same moment.
 _HOLDERS_SPAN_S = 4.0
-_HOLDERS_MORE = 3
-#: Seconds of silence after which a router without a part may ask the endpoint itself, and by how
-#: many intervals of the rate more for each member that comes before it.
-_ASK_AFTER_S = 5.0
-_ASK_INTERVALS = 4.0
-#: Seconds for which answers without a limit are told as such after one was lifted.
-_LIFTED_S = 3.0
-#: Seconds by which another router's word that a limit is lifted must be later than the last that
-#: named one: answers and messages pass each other on their way.
-_CROSSED_S = 0.5
+_MAX_EXTRA_HOLDERS = 3
+#: Silence after which a router without a share may probe the endpoint, and the number of intervals
+#: of the rate added for each member that ranks before it.
+_PROBE_AFTER_S = 5.0
+_PROBE_INTERVALS = 4.0
+#: Time for which responses without a limit are announced after one was lifted.
+_LIFT_ANNOUNCE_S = 3.0
+#: Time by which another router's update that lifts a limit must be later than the last announcement
+#: of the limit, as responses and messages may overtake each other.
+_LIFT_MARGIN_S = 0.5
 
 
 class RateShare(msgspec.Struct, frozen=True):
-    """One router's part of a rate.
+    """One router's share of a rate.
 
     Attributes
     ----------
     rank : int
-        How many members come before it for this endpoint.
+        Number of members that rank before it for this endpoint.
     holders : int
-        How many members hold a part.
+        Number of members that hold a share.
     interval_s : float
-        Least time between two requests of one holder.
-    ask_after_s : float
-        For how long a router without a part hears nothing of the limit before it asks.
-    ask_again_s : float
-        Least time between two requests of a router without a part.
+        Minimum time between two requests of one holder.
+    probe_after_s : float
+        Silence about the limit after which a router without a share sends a probe.
+    probe_interval_s : float
+        Minimum time between two probes of a router without a share.
     """
 
     rank: int
     holders: int
     interval_s: float
-    ask_after_s: float
-    ask_again_s: float
+    probe_after_s: float
+    probe_interval_s: float
 
     @classmethod
     def from_rate(cls, per_s: float, rank: int, members: int) -> "RateShare":
-        """Return the part of the member of a rank.
+        """Return the share of the member of a rank.
 
         Examples
         --------
         >>> RateShare.from_rate(2.0, rank=0, members=300)
-        RateShare(rank=0, holders=5, interval_s=2.5, ask_after_s=5.0, ask_again_s=605.0)
+        RateShare(rank=0, holders=5, interval_s=2.5, probe_after_s=5.0, probe_interval_s=605.0)
         """
-        per_s = max(_LEAST_PER_S, per_s)
-        most = min(int(per_s * _HOLDERS_SPAN_S), int(per_s) + _HOLDERS_MORE)
-        holders = max(1, min(members, most))
-        ask_after_s = _ASK_AFTER_S + _ASK_INTERVALS * rank / per_s
-        ask_again_s = _ASK_AFTER_S + _ASK_INTERVALS * members / per_s
-        return cls(rank, holders, holders / per_s, ask_after_s, ask_again_s)
+        per_s = max(_MIN_RATE_PER_S, per_s)
+        max_holders = min(int(per_s * _HOLDERS_SPAN_S), int(per_s) + _MAX_EXTRA_HOLDERS)
+        holders = max(1, min(members, max_holders))
+        probe_after_s = _PROBE_AFTER_S + _PROBE_INTERVALS * rank / per_s
+        probe_interval_s = _PROBE_AFTER_S + _PROBE_INTERVALS * members / per_s
+        return cls(rank, holders, holders / per_s, probe_after_s, probe_interval_s)
 
     @property
-    def holds(self) -> bool:
-        """Whether this router holds a part."""
+    def is_holder(self) -> bool:
+        """Whether this router holds a share."""
         return self.rank < self.holders
 
 
 class RateLimit:
-    """What one start of an endpoint last said that it bears, and what this router sent there.
+    """The latest rate limit of one endpoint incarnation, and this router's last request to it.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second from all routers together; None when it names no limit any more.
-    heard_s : float
-        When an answer last said so, by the own clock.
-    learnt_s : float
-        When this router learnt of it.
-    witness, witness_ms : str, int
-        The router's process that heard that answer, and when by its own clock.
+        Requests per second from all routers together; None if the limit was lifted.
+    announced_s : float
+        When a response last announced it, on the local clock.
+    received_s : float
+        When this router received the announcement.
+    observer, observed_ms : str, int
+        The router process that received that response, and when, on its own clock.
 
     Examples
     --------
     >>> limit = RateLimit("me")
-    >>> limit.hear(1.5, now_s=1.0), limit.hear(1.5, now_s=2.0)
+    >>> limit.observe(1.5, now_s=1.0), limit.observe(1.5, now_s=2.0)
     (True, False)
-    >>> limit.hear_told(ToldLimit("e-1", None, 900, "other", 70), now_s=2.5)
+    >>> limit.merge(ToldLimit("e-1", None, 900, "other", 70), now_s=2.5)
     False
     """
 
     __slots__ = (
         "_lifted_s",
-        "_own_name",
-        "_seen_ms",
+        "_process_name",
+        "_last_observed_ms",
         "_sent_s",
-        "heard_s",
-        "learnt_s",
+        "announced_s",
+        "received_s",
         "per_s",
-        "witness",
-        "witness_ms",
+        "observer",
+        "observed_ms",
     )
 
-    def __init__(self, own_name: str):
+    def __init__(self, process_name: str):
         self.per_s: float | None = None
-        self.heard_s = -1e9
-        self.learnt_s = -1e9
-        self.witness = self._own_name = own_name
-        self.witness_ms = 0
+        self.announced_s = -1e9
+        self.received_s = -1e9
+        self.observer = self._process_name = process_name
+        self.observed_ms = 0
         self._lifted_s = -1e9
         self._sent_s = -1e9
-        #: The last word of each witness.
-        self._seen_ms: dict[str, int] = {}
-
-    def hear(self, per_s: float | None, now_s: float) -> bool:
-        """Take in what an answer says now; True when that changes the limit."""
-        self.witness = self._own_name
-        self.witness_ms = round(now_s * 1_000)
-        return self._take(per_s, now_s, now_s)
-
-    def hear_told(self, told: "ToldLimit", now_s: float) -> bool:
-        """Take in what an answer said to another router; True when that changes the limit."""
-        if told.witness_ms <= self._seen_ms.get(told.witness, -1) or told.witness == self._own_name:
+        #: Time of the last update by observer.
+        self._last_observed_ms: dict[str, int] = {}
+
+    def observe(self, per_s: float | None, now_s: float) -> bool:
+        """Apply the limit in a response; return True if it changed."""
+        self.observer = self._process_name
+        self.observed_ms = round(now_s * 1_000)
+        return self._set(per_s, now_s, now_s)
+
+    def merge(self, update: "ToldLimit", now_s: float) -> bool:
+        """Merge an update of another router; return True if the limit changed."""
+        if (
+            update.observed_ms <= self._last_observed_ms.get(update.observer, -1)
+            or update.observer == self._process_name
+        ):
             return False
-        self._seen_ms[told.witness] = told.witness_ms
-        at_s = now_s - told.age_ms / 1_000
-        lifts = told.per_s is None and self.per_s is not None
-        if at_s < self.heard_s + (_CROSSED_S if lifts else 0.0):
+        self._last_observed_ms[update.observer] = update.observed_ms
+        announced_s = now_s - update.age_ms / 1_000
+        lifts = update.per_s is None and self.per_s is not None
+        if announced_s < self.announced_s + (_LIFT_MARGIN_S if lifts else 0.0):
             return False
-        self.witness = told.witness
-        self.witness_ms = told.witness_ms
-        return self._take(told.per_s, at_s, now_s)
-
-    def _take(self, per_s: float | None, at_s: float, now_s: float) -> bool:
-        self.learnt_s = now_s
-        before, self.per_s = self.per_s, per_s
-        self.heard_s = at_s
-        if per_s is None and before is not None:
-            self._lifted_s = at_s
-        return before != per_s
-
-    def hear_none(self, sent_s: float, now_s: float) -> bool:
-        """Take in an answer that names no limit; True when that lifts one.
-
-        Only the answer to a request that was sent after a limit was last named tells that it is
-        lifted: others may have been begun before. For a while after, each is told to others, as
-        one that came before the last word of a limit is passed over by them.
+        self.observer = update.observer
+        self.observed_ms = update.observed_ms
+        return self._set(update.per_s, announced_s, now_s)
+
+    def _set(self, per_s: float | None, announced_s: float, now_s: float) -> bool:
+        self.received_s = now_s
+        previous, self.per_s = self.per_s, per_s
+        self.announced_s = announced_s
+        if per_s is None and previous is not None:
+            self._lifted_s = announced_s
+        return previous != per_s
+
+    def observe_unlimited(self, sent_s: float, now_s: float) -> bool:
+        """Apply a response without a limit; return True if it lifts one.
+
+        Only the response to a request that was sent after the limit was last announced lifts it, as
+        others may have begun earlier. For some time after that, each response without a limit is
+        announced, because routers ignore one that precedes the last announcement they received.
         """
-        lately_lifted = self.per_s is None and now_s < self._lifted_s + _LIFTED_S
-        lifts = self.per_s is not None and sent_s > self.heard_s
-        return (lately_lifted or lifts) and self.hear(None, now_s)
+        recently_lifted = self.per_s is None and now_s < self._lifted_s + _LIFT_ANNOUNCE_S
+        lifts = self.per_s is not None and sent_s > self.announced_s
+        return (recently_lifted or lifts) and self.observe(None, now_s)
 
     def note_sent(self, now_s: float) -> None:
-        """Note that this router sends the endpoint a request."""
+        """Record that this router sends the endpoint a request."""
         self._sent_s = now_s
 
     def opens_in_s(self, share: RateShare, now_s: float) -> float:
-        """Return after which time this router may send a request; 0 when it may now."""
+        """Return the time until this router may send a request; 0 if it may now."""
         if self.per_s is None:
             return 0.0
-        if share.holds:
+        if share.is_holder:
             return max(0.0, self._sent_s + share.interval_s - now_s)
-        asks_s = max(self.heard_s + share.ask_after_s, self._sent_s + share.ask_again_s)
-        return max(0.0, asks_s - now_s)
+        probe_s = max(self.announced_s + share.probe_after_s, self._sent_s + share.probe_interval_s)
+        return max(0.0, probe_s - now_s)
 
 
 class ToldLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What an endpoint said to some router of the rate that it bears.
+    """Rate limit that an endpoint announced to some router; array on the wire.
 
     Attributes
     ----------
     endpoint : str
-        The incarnation.
+        Incarnation.
     per_s : float or None
-        Requests a second from all routers together; None: it names no limit any more.
+        Requests per second from all routers together; None if the limit was lifted.
     age_ms : int
-        How long ago it said so, as of when this is sent.
-    witness : str
-        The router's process that heard it.
-    witness_ms : int
-        When, by the steady clock of its machine.
+        Age of the announcement when the message is sent.
+    observer : str
+        Router process that received the announcement.
+    observed_ms : int
+        When, on the monotonic clock of its machine.
     """
 
     endpoint: str
     per_s: float | None
     age_ms: int
-    witness: str
-    witness_ms: int
+    observer: str
+    observed_ms: int
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The rate limits of all endpoints as one router knows them, and what it tells others of them."""
+"""The rate limits of all endpoints as one router knows them, and their exchange among routers."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -9,69 +9,68 @@
 
 __all__ = ["RateLimits"]
 
-#: Seconds for which others are told what was learnt of an endpoint. Holders hear it again with
-#: each of their requests.
-_TOLD_S = 1.5
-#: Most limits in one message.
-_TOLD_LIMIT = 32
-#: Endpoints remembered that named a limit.
-_KNOWN_LIMIT = 1_000
+#: Time for which a received limit is announced; holders receive it anew with each of their
+#: requests.
+_ANNOUNCE_S = 1.5
+#: Bounds the size of a message.
+_MAX_ANNOUNCED = 32
+_MAX_ENDPOINTS = 1_000
 
 
 class RateLimits:
-    """The limits that endpoints named, to this router or others.
+    """Rate limits that endpoints announced to this router or to others.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     ranks : MemberRanks
-        Deals the rates out.
-    own_name : str
-        This process among all that ever ran.
+        Ranks by which rates are divided among the members.
+    process_name : str
+        Unique name of this router process.
     """
 
-    def __init__(self, clock: Callable[[], float], ranks: MemberRanks, own_name: str):
-        self._own_name = own_name
+    def __init__(self, clock: Callable[[], float], ranks: MemberRanks, process_name: str):
+        self._process_name = process_name
         self._clock = clock
         self._ranks = ranks
-        #: By incarnation, in the order in which one was first named.
+        #: By incarnation, in the order of the first announcement.
         self._limits: OrderedDict[str, RateLimit] = OrderedDict()
-        #: Called with incarnation and limit (None: lifted) when another router tells of a change.
-        self.on_peer_limit: Callable[[str, float | None], None] = _told_nobody
+        #: Called with incarnation and limit (None: lifted) when an update of a peer changes it.
+        self.on_peer_limit: Callable[[str, float | None], None] = _ignore_change
 
-    # What endpoints say.
+    # Responses of endpoints.
 
     def name(self, incarnation: str, per_s: float) -> bool:
-        """Take in what an answer names; True when that changes the limit."""
-        return self._of(incarnation).hear(per_s, self._clock())
+        """Apply the limit in a response; return True if it changed."""
+        return self._get_or_create(incarnation).observe(per_s, self._clock())
 
     def note_unlimited(self, incarnation: str, sent_s: float) -> bool:
-        """Take in an answer that names no limit; True when that lifts one."""
+        """Apply a response without a limit; return True if it lifts one."""
         limit = self._limits.get(incarnation)
-        return limit is not None and limit.hear_none(sent_s, self._clock())
+        return limit is not None and limit.observe_unlimited(sent_s, self._clock())
 
-    def _of(self, incarnation: str) -> RateLimit:
+    def _get_or_create(self, incarnation: str) -> RateLimit:
         limit = self._limits.get(incarnation)
         if limit is None:
-            limit = self._limits[incarnation] = RateLimit(self._own_name)
-            while len(self._limits) > _KNOWN_LIMIT:
+            limit = self._limits[incarnation] = RateLimit(self._process_name)
+            while len(self._limits) > _MAX_ENDPOINTS:
                 self._limits.popitem(last=False)
         return limit
 
-    # What this router may send.
+    # Admission of requests.
 
     def opens_in_s(self, incarnation: str) -> float:
-        """Return after which time this router may send an endpoint a request; 0: now."""
+        """Return the time until this router may send an endpoint a request; 0 if it may now."""
         limit = self._limits.get(incarnation)
         if limit is None or limit.per_s is None:
             return 0.0
         return limit.opens_in_s(self._share(incarnation, limit.per_s), self._clock())
 
     def callers_wait_s(self, incarnation: str) -> float:
-        """Return after which time a caller may be served there, by whichever router.
+        """Return the time until a caller may be served there, by whichever router.
 
-        A router without a part waits long; its callers may come to one that holds a part.
+        A router without a share waits long, but its callers may retry at a router that has one.
         """
         limit = self._limits.get(incarnation)
         if limit is None or limit.per_s is None:
@@ -80,17 +79,17 @@
         return min(share.interval_s, limit.opens_in_s(share, self._clock()))
 
     def is_limited(self, incarnation: str) -> bool:
-        """Tell whether an endpoint names a limit."""
+        """Return whether an endpoint has a limit."""
         limit = self._limits.get(incarnation)
         return limit is not None and limit.per_s is not None
 
     @property
     def limited_count(self) -> int:
-        """How many endpoints name a limit."""
+        """Number of endpoints that have a limit."""
         return sum(limit.per_s is not None for limit in self._limits.values())
 
     def note_sent(self, incarnation: str) -> None:
-        """Note that this router sends an endpoint a request."""
+        """Record that this router sends an endpoint a request."""
         limit = self._limits.get(incarnation)
         if limit is not None:
             limit.note_sent(self._clock())
@@ -99,34 +98,34 @@
         rank = self._ranks.of(incarnation) if self._ranks.known else self._ranks.members
         return RateShare.from_rate(per_s, rank, self._ranks.members)
 
-    # What routers tell each other.
+    # Exchange among routers.
 
     def told(self) -> tuple[ToldLimit, ...]:
-        """Return what others are told: what was learnt lately, the newest first."""
+        """Return the recently received limits to announce, newest first."""
         now_s = self._clock()
-        told = [
+        updates = [
             ToldLimit(
                 incarnation,
                 limit.per_s,
-                round((now_s - limit.heard_s) * 1_000),
-                limit.witness,
-                limit.witness_ms,
+                round((now_s - limit.announced_s) * 1_000),
+                limit.observer,
+                limit.observed_ms,
             )
             for incarnation, limit in self._limits.items()
-            if now_s - limit.learnt_s < _TOLD_S
+            if now_s - limit.received_s < _ANNOUNCE_S
         ]
-        told.sort(key=lambda one: one.age_ms)
-        return tuple(told[:_TOLD_LIMIT])
+        updates.sort(key=lambda update: update.age_ms)
+        return tuple(updates[:_MAX_ANNOUNCED])
 
-    def take_in(self, told: Iterable[ToldLimit]) -> None:
-        """Take in what another router tells."""
+    def take_in(self, updates: Iterable[ToldLimit]) -> None:
+        """Merge updates of another router."""
         now_s = self._clock()
-        for one in told:
-            if one.per_s is None and one.endpoint not in self._limits:
+        for update in updates:
+            if update.per_s is None and update.endpoint not in self._limits:
                 continue
-            if self._of(one.endpoint).hear_told(one, now_s):
-                self.on_peer_limit(one.endpoint, one.per_s)
+            if self._get_or_create(update.endpoint).merge(update, now_s):
+                self.on_peer_limit(update.endpoint, update.per_s)
 
 
-def _told_nobody(incarnation: str, per_s: float | None) -> None:
-    """Stand in where nobody wants to know of changes."""
+def _ignore_change(incarnation: str, per_s: float | None) -> None:
+    """Default for ``on_peer_limit``."""
