--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -67,7 +67,7 @@
             return 0.0
         return limit.opens_in_s(self._share(incarnation, limit.per_s), self._clock())
 
-    def callers_wait_s(self, incarnation: str) -> float:
+    def fleet_wait_s(self, incarnation: str) -> float:
         """Return the time until a caller may be served there, by whichever router.
 
         A router without a share waits long, but its callers may retry at a router that has one.
