--- a/turnward/gateway/availability.py
+++ b/turnward/gateway/availability.py
@@ -21,10 +21,10 @@
 
 __all__ = ["Availability", "UnavailableReason"]
 
-#: First and longest time an endpoint is suspected after consecutive failures.
+#: Time for which an endpoint is suspected after consecutive failures: doubles up to the maximum.
 _SUSPECT_S = 0.5
 _SUSPECT_MAX_S = 4.0
-#: First and longest time an endpoint is suspected after it rejected requests.
+#: The same after it rejected requests.
 _REJECTED_S = 0.25
 _REJECTED_MAX_S = 2.0
 #: Single failures may be caused by the request.
@@ -69,14 +69,14 @@
     """
 
     __slots__ = (
-        "_peer_suspected_until_s",
-        "_suspected_until_s",
-        "_replaced_s",
-        "_draining",
         "_backoff_until_s",
+        "_draining",
+        "_peer_suspected_until_s",
         "_probing",
-        "_rejections",
         "_rejected_s",
+        "_rejections",
+        "_replaced_s",
+        "_suspected_until_s",
         "entry_draining",
         "failures",
         "marked_down",
@@ -121,7 +121,7 @@
 
         Parameters
         ----------
-        spread : float
+        jitter : float
             Factor of at least 1 for the backoff, so that routers do not all resume at once.
         """
         change = None
@@ -195,8 +195,8 @@
         Parameters
         ----------
         certain : bool
-            Whether the failure is certainly the endpoint's, such as a refused connection.
-        spread : float
+            Whether the endpoint is unreachable, which no single request can cause.
+        jitter : float
             Factor for the time of suspicion, so that routers do not all retry at once.
         """
         self.failures += 1
--- a/turnward/gateway/endpoint_feedback.py
+++ b/turnward/gateway/endpoint_feedback.py
@@ -11,7 +11,7 @@
 from turnward.gateway.dialect import Dialect
 from turnward.http1 import HeaderList, header_values
 
-__all__ = ["EndpointFeedback", "parse_limit_per_s", "parse_retry_after_s", "parse_feedback"]
+__all__ = ["EndpointFeedback", "parse_feedback", "parse_limit_per_s", "parse_retry_after_s"]
 
 #: Statuses whose ``Retry-After`` asks for a backoff (RFC 9110, 10.2.3; RFC 6585, 4).
 _RETRY_AFTER_STATUSES = frozenset((429, 503))
@@ -28,8 +28,8 @@
 
     Attributes
     ----------
-    leaves : bool
-        The endpoint stops soon and accepts no new requests.
+    draining : bool
+        Whether the endpoint stops soon and accepts no new requests.
     backoff_s : float
         Time for which this router is asked to send nothing; 0 if it is not.
     limit_per_s : float or None
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-__all__ = ["FeedbackUpdate", "FeedbackExchange"]
+__all__ = ["FeedbackExchange", "FeedbackUpdate"]
 
-#: Covers many rounds of messages, most of which may be lost.
+#: Time for which an update is announced: many rounds of messages, as most of them may be lost.
 _ANNOUNCE_S = 5.0
 #: Bounds the size of a message.
 _MAX_UPDATES = 32
 #: Endpoints remembered, so that an update that comes back from peers is not announced again.
 _MAX_KNOWN = 1_000
-#: A backoff counts as new only if it ends later than known by more than the transit time.
+#: A backoff is new only if it ends later than known by more than this, as messages take time.
 _MIN_EXTENSION_S = 0.5
 
 
@@ -31,7 +31,7 @@
     ----------
     endpoint : str
         Incarnation.
-    leaves : bool
+    draining : bool
         Whether it is draining.
     backoff_left_ms : int
         Remaining backoff when the message is sent; 0 if there is none.
@@ -56,7 +56,7 @@
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     on_update : callable
         Called with each ``FeedbackUpdate`` of another router that is new.
 
--- a/turnward/gateway/rate_limit.py
+++ b/turnward/gateway/rate_limit.py
@@ -107,15 +107,15 @@
     """
 
     __slots__ = (
+        "_last_observed_ms",
         "_lifted_s",
         "_process_name",
-        "_last_observed_ms",
         "_sent_s",
         "announced_s",
-        "received_s",
-        "per_s",
-        "observer",
         "observed_ms",
+        "observer",
+        "per_s",
+        "received_s",
     )
 
     def __init__(self, process_name: str):
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -9,8 +9,7 @@
 
 __all__ = ["RateLimits"]
 
-#: Time for which a received limit is announced; holders receive it anew with each of their
-#: requests.
+#: Time for which a received limit is announced; holders receive it again with each request.
 _ANNOUNCE_S = 1.5
 #: Bounds the size of a message.
 _MAX_ANNOUNCED = 32
--- a/turnward/gateway/removed_endpoints.py
+++ b/turnward/gateway/removed_endpoints.py
@@ -26,7 +26,7 @@
     --------
     >>> entry = EndpointEntry(endpoint_id="e", pool="p", address="10.0.0.1:80")
     >>> removed = RemovedEndpoints()
-    >>> removed.note({"e": entry}, {}, now_s=10.0)
+    >>> removed.record_view({"e": entry}, {}, now_s=10.0)
     >>> removed.begin_rollback_recovery(12.0)
     >>> removed.mark_draining({"e": entry}, now_s=13.0)["e"].leaving
     True
--- a/turnward/gateway/retries.py
+++ b/turnward/gateway/retries.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-__all__ = ["RetryBudgetShare", "RetryBudgetRule"]
+__all__ = ["RetryBudgetRule", "RetryBudgetShare"]
 
 #: Leaves a margin, because the windows of different routers are not aligned.
 _SAFETY_FACTOR = 0.8
@@ -29,8 +29,8 @@
 
     Examples
     --------
-    >>> allowance = RetryBudgetShare(RetryBudgetRule(0.5, 10.0, 2.5), lambda: 0.0)
-    >>> allowance.take(routers=1), allowance.take(routers=1), allowance.take(routers=1)
+    >>> share = RetryBudgetShare(RetryBudgetRule(0.5, 10.0, 2.5), lambda: 0.0)
+    >>> share.take(routers=1), share.take(routers=1), share.take(routers=1)
     (True, True, False)
     """
 
--- a/turnward/gateway/retry_after.py
+++ b/turnward/gateway/retry_after.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The ``Retry-After`` that refused callers are given."""
+"""The ``Retry-After`` delay of refusals."""
 
 import math
 import random
@@ -31,7 +31,7 @@
         Monotonic clock in seconds.
     endpoints : EndpointBook
         Gives when a pool without any available endpoint is available again.
-    draw : random.Random
+    rng : random.Random
         Source of the jitter.
     min_s : float
         Minimum, and the value where nothing is known.
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -288,20 +288,31 @@
     def _change_endpoint(self, step):
         not_draining = [endpoint for endpoint in self.simulation.endpoints if not endpoint.draining]
         endpoint = self.rng.choice(not_draining)
-        changes = ("leave", "leave", "rest", "rest", "shed", "entry", "gone", "back")
+        changes = (
+            "drain",
+            "drain",
+            "backoff",
+            "backoff",
+            "reject",
+            "change entry",
+            "remove entry",
+            "change all entries",
+        )
         change = self.rng.choice(changes)
         rows = self.simulation.harness.rows
-        if change == "leave" and len(not_draining) > 4:
+        if change == "drain" and len(not_draining) > 4:
             endpoint.draining = True
             self.simulation.add_endpoint()
-        elif change == "rest":
+        elif change == "backoff":
             endpoint.backoff_s = self.rng.choice((0.0, 0.7, 3.0))
-        elif change == "shed":
+        elif change == "reject":
             endpoint.rejects = not endpoint.rejects
-        elif change == "gone":
+        elif change == "remove entry":
             rows.remove("endpoints", endpoint.endpoint.endpoint_id)
-        elif change in ("entry", "back"):
-            for announced in self.simulation.endpoints if change == "back" else [endpoint]:
+        elif change in ("change entry", "change all entries"):
+            for announced in (
+                self.simulation.endpoints if change == "change all entries" else [endpoint]
+            ):
                 self.simulation.harness.announce(announced.endpoint, zone="z", slots=4 + step)
 
 
