--- a/turnward/gateway/tests/rate_limit_simulation.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -21,7 +21,7 @@
 
 __all__ = ["Fleet", "Outcome", "Scenario", "random_scenario", "request_bound"]
 
-#: Minimum and maximum.
+#: Minimum and maximum transit time of a request.
 _TRANSIT_S = (0.0005, 0.003)
 _RESPONSE_TIME_S = 0.05
 _UPDATE_INTERVAL_S = 0.1
@@ -45,14 +45,14 @@
         Whether all requests arrive at one router.
     isolated : float
         Share of the routers that exchange no messages with others.
-    dead : float
-        Share of the members that are down.
+    crashed : float
+        Share of the members that have crashed.
     paused : float
         Share of the routers that are paused for a second and then send all requests at once.
     max_connect_s : float
         Maximum time to open a connection.
     update_delay_s : float
-        Age at which updates of other routers arrive.
+        Age of updates from other routers on arrival.
     lifted_s : float
         Time at which the endpoints lift their limits.
     """
@@ -63,7 +63,7 @@
     demand_per_s: float
     skewed: bool = False
     isolated: float = 0.0
-    dead: float = 0.0
+    crashed: float = 0.0
     paused: float = 0.0
     max_connect_s: float = 0.0
     update_delay_s: float = 0.2
@@ -145,7 +145,7 @@
         self.addresses = [f"10.0.{number // 250}.{number % 250}:1" for number in range(count)]
         live_numbers = list(range(count))
         self.rng.shuffle(live_numbers)
-        live_numbers = sorted(live_numbers[int(scenario.dead * count) :])
+        live_numbers = sorted(live_numbers[int(scenario.crashed * count) :])
         self.isolated = set(
             self.rng.sample(live_numbers, int(scenario.isolated * len(live_numbers)))
         )
@@ -364,7 +364,7 @@
     share = RateShare.from_rate(per_s, 0, scenario.routers)
     in_transit = share.holders * (scenario.max_connect_s + _TRANSIT_S[1]) / share.interval_s
     # Isolated routers send probes: at most a quarter of the rate, and at least one.
-    probes = max(1.0, WINDOW_S * per_s / 4) if scenario.isolated or scenario.dead else 0.0
+    probes = max(1.0, WINDOW_S * per_s / 4) if scenario.isolated or scenario.crashed else 0.0
     return per_s * WINDOW_S + share.holders + in_transit + probes + 1e-6
 
 
@@ -381,7 +381,7 @@
         demand_per_s=rng.choice((0.5, 2.0, 6.0)) * max(0.5, per_s) * endpoints,
         skewed=rng.random() < 0.2,
         isolated=rng.choice((0.0, 0.0, 0.3, 1.0)),
-        dead=rng.choice((0.0, 0.0, 0.3)),
+        crashed=rng.choice((0.0, 0.0, 0.3)),
         paused=rng.choice((0.0, 0.2)),
         max_connect_s=rng.choice((0.0, 0.3)),
         update_delay_s=rng.choice((0.1, 0.4, 2.0)),
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -55,7 +55,7 @@
         {},
         {"isolated": 0.3},
         {"isolated": 1.0},
-        {"dead": 0.3},
+        {"crashed": 0.3},
         {"paused": 0.2},
         {"max_connect_s": 0.3},
     ],
@@ -68,7 +68,7 @@
     assert Fleet(scenario).run().max_requests <= request_bound(scenario)
 
 
-@pytest.mark.parametrize("case", [{}, {"isolated": 0.3}, {"dead": 0.3}])
+@pytest.mark.parametrize("case", [{}, {"isolated": 0.3}, {"crashed": 0.3}])
 def test_bound_holds_in_a_fleet_of_300(case):
     scenario = Scenario(
         routers=300, endpoints=2, per_s=1.4, demand_per_s=20.0, duration_s=12.0, **case
