--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -134,7 +134,7 @@
     harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 503
     assert not reporting.requests
-    failed = harness.logs[0].with_event("attempt.failed")[0]
+    failed = harness.logs[0].of("attempt.failed")[0]
     assert (failed["how"], failed["sent"]) == ("held", False)
     assert record.in_flight == 0
 
@@ -203,9 +203,7 @@
     simulation.endpoints[0].draining = True
     simulation.endpoints[1].backoff_s = 2.0
     simulation.send_requests(1.0)
-    reported = {
-        line["endpoint"]: line for line in simulation.harness.logs[0].with_event("endpoint.said")
-    }
+    reported = {line["endpoint"]: line for line in simulation.harness.logs[0].of("endpoint.said")}
     assert reported["e-1"]["hold"] == "leaves"
     assert reported["e-1"]["request"].startswith("id-")
     assert reported["e-2"]["hold"] == "rests"
@@ -218,7 +216,7 @@
     for per_s in (40.0, 20.0):
         limited.limit_per_s = per_s
         simulation.send_requests(2.0, interval_s=0.02)
-    lines = simulation.harness.logs[0].with_event("endpoint.limited")
+    lines = simulation.harness.logs[0].of("endpoint.limited")
     assert [line["limit_per_s"] for line in lines] == [40.0, 20.0]
     assert {line["endpoint"] for line in lines} == {limited.endpoint.endpoint_id}
     assert lines[0]["request"].startswith("id-")
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -130,7 +130,7 @@
     refusals = [caller for caller in simulation.callers if caller.status == 503]
     assert {error_reason(caller) for caller in refusals} == {"endpoints_limited"}
     assert all(0.25 <= float(caller.header(b"retry-after")) <= 6.0 for caller in refusals)
-    lines = [line for log in simulation.harness.logs for line in log.with_event("request.ended")]
+    lines = [line for log in simulation.harness.logs for line in log.of("request.ended")]
     assert max(line["took_ms"] for line in lines if line["outcome"] == "refused") < 50
 
 
@@ -144,11 +144,9 @@
     before = len(limited.sends)
     simulation.send_requests(3.0, interval_s=0.05)
     assert len(limited.sends) - before >= 12
-    changes = [
-        line["limit_per_s"] for line in simulation.harness.logs[0].with_event("endpoint.limited")
-    ]
+    changes = [line["limit_per_s"] for line in simulation.harness.logs[0].of("endpoint.limited")]
     changes += [
-        line["limit_per_s"] for line in simulation.harness.logs[0].with_event("endpoint.told_limit")
+        line["limit_per_s"] for line in simulation.harness.logs[0].of("endpoint.told_limit")
     ]
     assert set(changes) == {1.0, None}
 
@@ -184,7 +182,7 @@
     assert len(limited.requests) == 1
     assert sorted(caller.status for caller in callers) == [200] + [503] * 5
     assert record.opening == record.in_flight == 0
-    assert {line["hold"] for line in harness.logs[0].with_event("attempt.failed")} == {"limited"}
+    assert {line["hold"] for line in harness.logs[0].of("attempt.failed")} == {"limited"}
 
 
 def fixed_ranks(rank, members):
