--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -154,8 +154,8 @@
 def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
     monkeypatch.setattr(AccountUpdates, "take_in", lambda *_: None)
     # Between two looks at the row the other router can't know it itself.
-    monkeypatch.setattr(AccountUpdates, "note_seen", lambda *_: None)
-    monkeypatch.setattr(AccountUpdates, "note_written", lambda *_: None)
+    monkeypatch.setattr(AccountUpdates, "record_read", lambda *_: None)
+    monkeypatch.setattr(AccountUpdates, "record_written", lambda *_: None)
     play = unclaimed_play()
     assert play.used_tokens > play.prepaid
 
