--- a/turnward/gateway/account_updates.py
+++ b/turnward/gateway/account_updates.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What routers tell each other of the rows that hold workspaces' tokens.
+"""Updates that routers send each other about the rows that hold workspaces' tokens.
 
-A store that comes back from an older copy has lost the last grants, and a router that took one may
-be dead or cut off by then. So each router tells the others, as soon as it has written a row, how
-many tokens the row says are taken. Whoever heard of it last knows what the row has to say again.
+A store that is restored from an older copy has lost the latest grants, and the routers that took
+them may have crashed or be unreachable. So each router announces, as soon as it has written a row,
+how many tokens the row records as taken. Any router that received the latest update can then
+restore the row.
 """
 
 from collections import OrderedDict
@@ -13,28 +14,27 @@
 
 from turnward.rows import RowVersion, StoreEras
 
-__all__ = ["AccountUpdates", "TakenTokens", "AccountUpdate"]
+__all__ = ["AccountUpdate", "AccountUpdates", "TakenTokens"]
 
-#: Seconds for which a write is told: several rounds of messages, some of which may be lost.
-_NEWS_S = 1.0
-#: Seconds for which all that is known is told, after a return of the store or a router's start.
-_RETOLD_S = 2.0
-#: Most rows in one message, which bounds its size.
-_TOLD_LIMIT = 32
-#: Most workspaces of which something is remembered, and most eras.
-_KNOWN_LIMIT = 4_096
+#: Announces a write for several rounds of messages, since some may be lost.
+_ANNOUNCE_S = 1.0
+#: Announces all known rows for this long after a rollback of the store or a start of the router.
+_ANNOUNCE_ALL_S = 2.0
+#: Limit of rows in one message, which bounds its size.
+_UPDATES_PER_MESSAGE_LIMIT = 32
+_WORKSPACES_LIMIT = 4_096
 _ERAS_LIMIT = 3
 
 
 class AccountUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a row said of a workspace's tokens.
+    """What one version of a row recorded of a workspace's tokens.
 
     Attributes
     ----------
     era, number : int
-        Of the row's version.
+        Era and number of the row's version.
     taken_tokens : int
-        What routers held or had spent by then.
+        Tokens that routers held or had spent as of this version.
     """
 
     workspace: str
@@ -44,106 +44,110 @@
 
 
 class TakenTokens(msgspec.Struct, frozen=True):
-    """What is known to have been taken of a workspace's tokens as of a version of its row."""
+    """Tokens taken of a workspace's budget as of one version of its row."""
 
     version: RowVersion
     tokens: int
 
 
-class _Known(msgspec.Struct):
-    """The latest word on one workspace by era, and when this router last wrote its row."""
+class _KnownAccount(msgspec.Struct):
+    """Latest known row of one workspace by era, and when this router last wrote the row."""
 
     by_era: dict[int, TakenTokens] = {}
     written_s: float = float("-inf")
 
     @property
     def latest(self) -> TakenTokens:
-        """The latest word of all."""
+        """Latest known row over all eras."""
         return self.by_era[max(self.by_era)]
 
 
 class AccountUpdates:
-    """The latest known rows of all workspaces, and what others are told of them.
+    """Latest known rows of all workspaces, and the updates that are announced to other routers.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     eras : StoreEras
-        Of the store; of one that names none nothing is told.
+        Eras of the store. Nothing is announced before an era is known or an update received.
 
     Examples
     --------
     >>> eras = StoreEras()
     >>> eras.note_answer(1)
-    >>> news = AccountUpdates(lambda: 0.0, eras)
-    >>> news.record_written("acme", RowVersion.of(1, 7), 500)
-    >>> news.take_in([AccountUpdate("acme", 1, 6, 900)])
-    >>> news.latest("acme").tokens, len(news.told())
+    >>> updates = AccountUpdates(lambda: 0.0, eras)
+    >>> updates.record_written("acme", RowVersion.of(1, 7), 500)
+    >>> updates.take_in([AccountUpdate("acme", 1, 6, 900)])
+    >>> updates.latest("acme").tokens, len(updates.told())
     (500, 1)
     """
 
     def __init__(self, clock: Callable[[], float], eras: StoreEras):
         self._clock = clock
         self._eras = eras
-        self._known: OrderedDict[str, _Known] = OrderedDict()
-        self._retold_until_s = 0.0
-        self._heard = False
+        self._known: OrderedDict[str, _KnownAccount] = OrderedDict()
+        self._announce_all_until_s = 0.0
+        self._has_received = False
 
     def latest(self, workspace: str) -> TakenTokens | None:
-        """Return what the latest known row of a workspace says; None when none is known."""
+        """Return the latest known taken tokens of a workspace, or None if none are known."""
         known = self._known.get(workspace)
         return known.latest if known is not None else None
 
     def latest_before(self, workspace: str, era: int) -> TakenTokens | None:
-        """Return what the latest known row of eras before one says; None when none is known."""
+        """Return the latest known taken tokens of the eras before ``era``, or None."""
         known = self._known.get(workspace)
-        eras = [one for one in known.by_era if one < era] if known is not None else []
+        eras = (
+            [known_era for known_era in known.by_era if known_era < era]
+            if known is not None
+            else []
+        )
         return known.by_era[max(eras)] if eras else None
 
     @property
     def workspaces(self) -> list[str]:
-        """The workspaces of which something is known."""
+        """Workspaces with a known row."""
         return list(self._known)
 
     def record_read(self, workspace: str, version: int, tokens: int) -> None:
-        """Take in a row as it was read."""
-        self._learn(workspace, TakenTokens(RowVersion(version), tokens))
+        """Record a row that this router has read."""
+        self._record(workspace, TakenTokens(RowVersion(version), tokens))
 
     def record_written(self, workspace: str, version: int, tokens: int) -> None:
-        """Take in a row that this router has written."""
+        """Record a row that this router has written, and announce it."""
         self.record_read(workspace, version, tokens)
         self._known[workspace].written_s = self._clock()
 
     def announce_all(self) -> None:
-        """Tell all that is known for a while: the store came back, or a router has started."""
-        self._retold_until_s = self._clock() + _RETOLD_S
+        """Announce all known rows for a while, after a rollback or a router's start."""
+        self._announce_all_until_s = self._clock() + _ANNOUNCE_ALL_S
 
-    def take_in(self, told: Iterable[AccountUpdate]) -> None:
-        """Take in what another router tells."""
-        for one in told:
-            self._heard = True
-            version = RowVersion.of(one.era, one.number)
-            self._learn(one.workspace, TakenTokens(version, one.taken_tokens))
+    def take_in(self, updates: Iterable[AccountUpdate]) -> None:
+        """Merge the updates that another router has announced."""
+        for update in updates:
+            self._has_received = True
+            version = RowVersion.of(update.era, update.number)
+            self._record(update.workspace, TakenTokens(version, update.taken_tokens))
 
     def told(self) -> tuple[AccountUpdate, ...]:
-        """Return what others are told, the latest first."""
-        if self._eras.known is None and not self._heard:
+        """Return the updates to announce now, the latest first."""
+        if self._eras.known is None and not self._has_received:
             return ()
         now_s = self._clock()
-        retold = now_s < self._retold_until_s
-        told = []
+        announces_all = now_s < self._announce_all_until_s
+        updates = []
         for workspace, known in reversed(self._known.items()):
-            if not retold and now_s - known.written_s >= _NEWS_S:
+            if not announces_all and now_s - known.written_s >= _ANNOUNCE_S:
                 continue
-            # After a return the era before counts as well.
-            for era in sorted(known.by_era)[-2:] if retold else (max(known.by_era),):
+            # After a rollback, routers also need the row of the era before.
+            for era in sorted(known.by_era)[-2:] if announces_all else (max(known.by_era),):
                 taken = known.by_era[era]
-                told.append(AccountUpdate(workspace, era, taken.version.number, taken.tokens))
-        return tuple(told[:_TOLD_LIMIT])
+                updates.append(AccountUpdate(workspace, era, taken.version.number, taken.tokens))
+        return tuple(updates[:_UPDATES_PER_MESSAGE_LIMIT])
 
-    def _learn(self, workspace: str, taken: TakenTokens) -> None:
-        known = self._known.setdefault(workspace, _Known())
+    def _record(self, workspace: str, taken: TakenTokens) -> None:
+        known = self._known.setdefault(workspace, _KnownAccount())
         of_era = known.by_era.get(taken.version.era)
         if of_era is not None and taken.version <= of_era.version:
             return
@@ -151,5 +155,5 @@
         while len(known.by_era) > _ERAS_LIMIT:
             del known.by_era[min(known.by_era)]
         self._known.move_to_end(workspace)
-        while len(self._known) > _KNOWN_LIMIT:
+        while len(self._known) > _WORKSPACES_LIMIT:
             self._known.popitem(last=False)
--- a/turnward/gateway/borrowing.py
+++ b/turnward/gateway/borrowing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The borrower's side of loans: whom to ask, for how much, and what came."""
+"""The borrower's side of loans: which peers are asked, for how many tokens, and what they lend."""
 
 from collections.abc import Callable
 
@@ -11,27 +11,27 @@
 
 
 class Borrower:
-    """Asks peers for the tokens that waiting requests need.
+    """Borrows from peers the tokens that waiting requests need.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     ledger : GrantLedger
-        Takes in what is borrowed.
+        Ledger to which borrowed tokens are added.
     rule : LoanRule
-        How many peers are asked, and for how much.
+        Limits of a loan.
     spendable_tokens : callable
-        Returns what may be reserved of a workspace now.
+        Returns how many tokens of a workspace may be reserved now.
     on_loan : callable
-        Called with the account after each loan that came.
+        Called with the account after each loan received.
     log : GatewayLog
-        Told of each loan.
+        Logs each loan.
 
     Attributes
     ----------
     lenders : LenderBase
-        The peers that may lend.
+        Peers that may lend.
     """
 
     def __init__(
@@ -52,29 +52,31 @@
         self.lenders: LenderBase = NoLenders()
 
     def lendable_tokens(self, workspace: str) -> int:
-        """Return what all peers together say they can spare."""
+        """Return the tokens that all peers together offer to lend."""
         return sum(tokens for _, tokens in self.lenders.spare(workspace))
 
     async def borrow(self, account: WorkspaceAccount) -> None:
-        """Ask one peer after the other until waiting requests have what they need."""
+        """Ask one peer after another until the waiting requests have enough tokens."""
         account.borrowing = True
         try:
             for address, _ in self.lenders.spare(account.workspace)[: self._rule.max_lenders]:
-                ask = self._ask(account)
-                if ask is None:
+                request = self._loan_request(account)
+                if request is None:
                     return
-                self._take_in(account, address, ask, await self.lenders.ask(address, ask))
+                self._add_loan(account, address, request, await self.lenders.ask(address, request))
         finally:
             account.borrowing = False
 
-    def _ask(self, account: WorkspaceAccount) -> LoanAsk | None:
-        least = account.waiting_tokens - self._spendable_tokens(account.workspace)
-        if least <= 0:
+    def _loan_request(self, account: WorkspaceAccount) -> LoanAsk | None:
+        required = account.waiting_tokens - self._spendable_tokens(account.workspace)
+        if required <= 0:
             return None
         demand = self._ledger.demand_tokens_per_s(account.workspace, self._reactor.seconds())
-        return LoanAsk(account.workspace, least, least + int(demand * self._rule.lookahead_s))
+        return LoanAsk(account.workspace, required, required + int(demand * self._rule.lookahead_s))
 
-    def _take_in(self, account: WorkspaceAccount, address: str, ask: LoanAsk, tokens: int) -> None:
+    def _add_loan(
+        self, account: WorkspaceAccount, address: str, request: LoanAsk, tokens: int
+    ) -> None:
         if tokens <= 0:
             return
         account.borrowed_tokens += tokens
@@ -84,7 +86,7 @@
             workspace=account.workspace,
             lender=address,
             tokens=tokens,
-            wanted=ask.required_tokens,
+            wanted=request.required_tokens,
             free=self._ledger.free_tokens(account.workspace),
         )
         self._on_loan(account)
--- a/turnward/gateway/holder_client.py
+++ b/turnward/gateway/holder_client.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How a router that does not hold a workspace's tokens gets them for one request.
+"""Client by which a router that holds no tokens of a workspace borrows them for one request.
 
-It asks a holder, which counts what it lends as spent under its own grant before the answer
-leaves; see ``loans``. What a request did not use goes back to a holder: the sender
-counts it as spent before the message leaves, so a lost message loses tokens and makes none.
+The holder counts lent tokens as spent under its own grant before it responds; see ``loans``.
+Tokens that the request did not use are returned to a holder. The sender counts them as spent
+before it sends the message, so that a lost message can lose tokens but never create any.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,19 +15,17 @@
 from turnward.gateway.loans import LOANS_PATH, RETURNS_PATH, Loan, LoanAsk, LoanReturn
 from turnward.http1 import Http1Error, NotSentError
 
-__all__ = ["ReturnOutcome", "HolderClient"]
+__all__ = ["HolderClient", "ReturnOutcome"]
 
-#: Holders asked for one request at most; each that is silent costs the answer limit.
-_HOLDERS_ASKED = 3
-#: Seconds that a holder may take: it may wait for the store itself, but not longer than a
-#: request waits there (``prepaid``), and the rest of a request's time is for its endpoint.
-_ANSWER_LIMIT_S = 0.25
-#: Seconds that a holder may take to answer a message that asks for nothing.
-_RETURN_LIMIT_S = 0.25
+#: Limit of holders asked for one request.
+_MAX_HOLDERS = 3
+#: Includes the time that a holder may wait for the store.
+_LOAN_TIMEOUT_S = 0.25
+_RETURN_TIMEOUT_S = 0.25
 
 
 class ReturnOutcome(StrEnum):
-    """What became of tokens that were handed back."""
+    """Outcome of returning tokens to a holder."""
 
     TAKEN = "taken"
     NOT_SENT = "not_sent"
@@ -35,17 +33,17 @@
 
 
 class HolderClient:
-    """Asks holders for tokens, and hands tokens back to them.
+    """Borrows tokens from holders, and returns tokens to them.
 
     Parameters
     ----------
     holders : HoldersBase
-        Whom to ask.
+        Holders of each workspace's tokens.
     call : callable
-        ``await call(address, path, body, timeout_s)`` returns an answer's body or None;
-        raises ``Http1Error`` when there was no answer.
+        ``await call(address, path, body, timeout_s)`` returns the response body, or None if the
+        request was rejected; raises ``Http1Error`` if there was no response.
     log : GatewayLog
-        Told of holders that do not answer.
+        Logs loans, and holders that do not respond.
     """
 
     def __init__(
@@ -58,48 +56,48 @@
         self._call = call
         self._log = log
 
-    async def borrow(self, ask: LoanAsk) -> Loan:
-        """Return the first loan that a holder gives, or that the tokens are exhausted."""
-        body = msgspec.msgpack.encode(ask)
-        for address in self._holders.other_holders(ask.workspace)[:_HOLDERS_ASKED]:
-            loan = await self._ask(address, ask.workspace, body)
+    async def borrow(self, request: LoanAsk) -> Loan:
+        """Return the first loan that a holder grants, or an empty loan if none does."""
+        body = msgspec.msgpack.encode(request)
+        for address in self._holders.other_holders(request.workspace)[:_MAX_HOLDERS]:
+            loan = await self._request_loan(address, request.workspace, body)
             if loan is None:
                 continue
             if loan.tokens > 0:
                 self._log.event(
                     "prepaid.borrowed",
-                    workspace=ask.workspace,
+                    workspace=request.workspace,
                     lender=address,
                     tokens=loan.tokens,
-                    wanted=ask.required_tokens,
+                    wanted=request.required_tokens,
                 )
             if loan.tokens > 0 or loan.exhausted:
                 return loan
         return Loan(0)
 
-    async def _ask(self, address: str, workspace: str, body: bytes) -> Loan | None:
+    async def _request_loan(self, address: str, workspace: str, body: bytes) -> Loan | None:
         try:
-            answer = await self._call(address, LOANS_PATH, body, _ANSWER_LIMIT_S)
-            return msgspec.msgpack.decode(answer, type=Loan) if answer is not None else None
-        except (Http1Error, msgspec.DecodeError) as failure:
-            self._note_silent(address, workspace, failure)
+            response = await self._call(address, LOANS_PATH, body, _LOAN_TIMEOUT_S)
+            return msgspec.msgpack.decode(response, type=Loan) if response is not None else None
+        except (Http1Error, msgspec.DecodeError) as error:
+            self._mark_unresponsive(address, workspace, error)
             return None
 
-    def _note_silent(self, address: str, workspace: str, failure: Exception) -> None:
+    def _mark_unresponsive(self, address: str, workspace: str, error: Exception) -> None:
         self._holders.mark_unresponsive(address)
-        self._log.failure("holder.silent", holder=address, workspace=workspace, cause=str(failure))
+        self._log.failure("holder.silent", holder=address, workspace=workspace, cause=str(error))
 
     async def return_tokens(self, workspace: str, tokens: int) -> ReturnOutcome:
-        """Send tokens that the caller counts as spent to a holder."""
+        """Return tokens, which the caller has counted as spent, to a holder."""
         body = msgspec.msgpack.encode(LoanReturn(workspace, tokens))
-        for address in self._holders.other_holders(workspace)[:_HOLDERS_ASKED]:
+        for address in self._holders.other_holders(workspace)[:_MAX_HOLDERS]:
             try:
-                answer = await self._call(address, RETURNS_PATH, body, _RETURN_LIMIT_S)
-            except NotSentError as failure:
-                self._note_silent(address, workspace, failure)
+                response = await self._call(address, RETURNS_PATH, body, _RETURN_TIMEOUT_S)
+            except NotSentError as error:
+                self._mark_unresponsive(address, workspace, error)
                 continue
-            except Http1Error as failure:
-                self._note_silent(address, workspace, failure)
+            except Http1Error as error:
+                self._mark_unresponsive(address, workspace, error)
                 return ReturnOutcome.LOST
-            return ReturnOutcome.TAKEN if answer is not None else ReturnOutcome.LOST
+            return ReturnOutcome.TAKEN if response is not None else ReturnOutcome.LOST
         return ReturnOutcome.NOT_SENT
--- a/turnward/gateway/holders.py
+++ b/turnward/gateway/holders.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which routers hold a workspace's tokens.
+"""Selects the routers that hold a workspace's tokens.
 
 A few routers hold grants of a workspace, chosen by rendezvous hashing over the members of the
-fleet; all others ask one of them for each request. So the rows written and read for a
-workspace, and what is lost with dead processes, do not grow with the fleet. A fleet of
-up to ``HOLDERS`` routers has no others: each holds tokens of every workspace.
+fleet; all other routers borrow from one of them for each request. So the number of rows read and
+written for a workspace, and the tokens lost with crashed processes, do not grow with the fleet. In
+a fleet of up to ``HOLDERS_PER_WORKSPACE`` routers, each router holds tokens of every workspace.
 """
 
 import zlib
@@ -16,22 +16,22 @@
 
 __all__ = ["HOLDERS_PER_WORKSPACE", "EveryRouterHolds", "HoldersBase", "RendezvousHolders"]
 
-#: Routers that hold one workspace's tokens: each strands a burst with a loss of power, and
-#: with two a workspace outlives one of them while the store is away; measured in decision 18.
+#: Each holder can lose a burst of tokens in a crash. With two, a workspace is served when one of
+#: them crashes while the store is unavailable.
 HOLDERS_PER_WORKSPACE = 2
-#: Seconds without a new member after which tokens are taken or handed over by the ranking.
+#: Time without a new member after which the membership counts as settled.
 _SETTLED_S = 0.3
-#: Seconds for which a holder that did not answer is not asked again.
-_REST_S = 1.0
+#: Time for which an unresponsive holder is not asked again.
+_UNRESPONSIVE_BACKOFF_S = 1.0
 
 
 class HoldersBase(ABC):
-    """Tells which routers hold a workspace's tokens."""
+    """Routers that hold a workspace's tokens."""
 
     @property
     @abstractmethod
     def count(self) -> int:
-        """How many routers hold one workspace's tokens."""
+        """Number of routers that hold one workspace's tokens."""
 
     @property
     @abstractmethod
@@ -41,28 +41,28 @@
     @property
     @abstractmethod
     def settled(self) -> bool:
-        """Whether the members are known well enough to act on a change of who holds what."""
+        """Whether the membership is stable enough to take or return tokens by it."""
 
     @abstractmethod
     def holds(self, workspace: str) -> bool:
-        """Tell whether this router holds tokens of a workspace, by what is known now."""
+        """Return whether this router is a holder of a workspace's tokens."""
 
     @abstractmethod
     def other_holders(self, workspace: str) -> list[str]:
-        """Return the addresses of the other holders that may answer, as they are to be asked."""
+        """Return the addresses of the other responsive holders, in the order to ask them."""
 
     @abstractmethod
     def mark_unresponsive(self, address: str) -> None:
-        """Note that a holder did not answer."""
+        """Record that a holder did not respond."""
 
 
 class EveryRouterHolds(HoldersBase):
-    """A fleet in which each router holds tokens of every workspace.
+    """Small fleet in which each router holds tokens of every workspace.
 
     Parameters
     ----------
     routers : callable
-        How many routers may live.
+        Returns the number of routers that may be alive.
     """
 
     def __init__(self, routers: Callable[[], int]):
@@ -75,7 +75,7 @@
 
     @property
     def all_routers_hold(self) -> bool:
-        """See ``HoldersBase.everyone``."""
+        """See ``HoldersBase.all_routers_hold``."""
         return True
 
     @property
@@ -88,7 +88,7 @@
         return True
 
     def other_holders(self, workspace: str) -> list[str]:
-        """See ``HoldersBase.others``."""
+        """See ``HoldersBase.other_holders``."""
         return []
 
     def mark_unresponsive(self, address: str) -> None:
@@ -96,19 +96,19 @@
 
 
 class RendezvousHolders(HoldersBase):
-    """The holders by rendezvous hashing over the members.
+    """Holders chosen by rendezvous hashing over the members.
 
-    Members that died are still ranked: who holds what changes only when members are
-    added, and a holder that comes back finds its place again.
+    Crashed members are still ranked: the holders change only when members are added, and a holder
+    that restarts holds the same workspaces as before.
 
     Parameters
     ----------
     book : PeerBook
-        The members.
+        Members of the fleet.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     limit : int, optional
-        How many routers hold one workspace's tokens.
+        Number of routers that hold one workspace's tokens.
     """
 
     def __init__(
@@ -117,10 +117,10 @@
         self._limit = limit
         self._book = book
         self._clock = clock
-        self._ranked_version = -1
-        self._ranked: dict[str, tuple[str, ...]] = {}
-        self._turn = zlib.crc32(book.own_address.encode())
-        self._resting: dict[str, float] = {}
+        self._rankings_version = -1
+        self._rankings: dict[str, tuple[str, ...]] = {}
+        self._rotation = zlib.crc32(book.own_address.encode())
+        self._unresponsive_until_s: dict[str, float] = {}
 
     @property
     def count(self) -> int:
@@ -129,7 +129,7 @@
 
     @property
     def all_routers_hold(self) -> bool:
-        """See ``HoldersBase.everyone``."""
+        """See ``HoldersBase.all_routers_hold``."""
         return self._book.most_live <= self._limit
 
     @property
@@ -142,35 +142,35 @@
         return self.all_routers_hold or self._book.own_address in self._ranking(workspace)
 
     def other_holders(self, workspace: str) -> list[str]:
-        """See ``HoldersBase.others``; each is the first in turn, so that all know the demand."""
+        """See ``HoldersBase.other_holders``; rotates the order, so that each holder sees demand."""
         now_s = self._clock()
         own = self._book.own_address
-        known = [
+        responsive = [
             address
             for address in self._ranking(workspace)
-            if address != own and self._resting.get(address, 0.0) <= now_s
+            if address != own and self._unresponsive_until_s.get(address, 0.0) <= now_s
         ]
-        if not known:
+        if not responsive:
             return []
-        self._turn += 1
-        first = self._turn % len(known)
-        return known[first:] + known[:first]
+        self._rotation += 1
+        first = self._rotation % len(responsive)
+        return responsive[first:] + responsive[:first]
 
     def mark_unresponsive(self, address: str) -> None:
         """See ``HoldersBase.mark_unresponsive``."""
-        self._resting[address] = self._clock() + _REST_S
+        self._unresponsive_until_s[address] = self._clock() + _UNRESPONSIVE_BACKOFF_S
 
-    def _forget_old_ranking(self) -> None:
-        if self._ranked_version != self._book.membership_version:
-            self._ranked_version = self._book.membership_version
-            self._ranked = {}
+    def _drop_stale_rankings(self) -> None:
+        if self._rankings_version != self._book.membership_version:
+            self._rankings_version = self._book.membership_version
+            self._rankings = {}
 
     def _ranking(self, workspace: str) -> tuple[str, ...]:
-        self._forget_old_ranking()
-        ranking = self._ranked.get(workspace)
+        self._drop_stale_rankings()
+        ranking = self._rankings.get(workspace)
         if ranking is None:
             addresses = [peer.address for peer in self._book.members]
             addresses.append(self._book.own_address)
             addresses.sort(key=lambda address: rendezvous_weight(workspace, address), reverse=True)
-            ranking = self._ranked[workspace] = tuple(addresses[: self._limit])
+            ranking = self._rankings[workspace] = tuple(addresses[: self._limit])
         return ranking
--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Peers that lend what they can spare: by what they tell, or by who holds tokens at all."""
+"""Lenders of tokens: peers that announce a surplus, or the holders of a workspace's tokens."""
 
 import msgspec
 
@@ -8,28 +8,27 @@
 
 __all__ = ["HolderLenders", "PeerLenders"]
 
-#: Seconds that a borrower waits for a lender's answer.
-_ANSWER_LIMIT_S = 0.15
-#: Seconds after which what a peer said of its spare tokens no longer counts.
-_SPARE_LIFE_S = 1.0
-#: Seconds for which a holder that lent nothing is not asked again.
-_EMPTY_S = 1.0
-#: What a holder is taken to have while nothing is known of it.
-_UNKNOWN_TOKENS = 1_000_000_000
+_LOAN_TIMEOUT_S = 0.15
+#: Age at which a peer's announced surplus expires.
+_SURPLUS_TTL_S = 1.0
+#: Time for which a holder that lent nothing is not asked again.
+_EMPTY_BACKOFF_S = 1.0
+#: Surplus assumed of a holder, since holders of large fleets announce none.
+_ASSUMED_SURPLUS_TOKENS = 1_000_000_000
 
 
 class PeerLenders(LenderBase):
-    """Asks the peers, by what their digests say they can spare.
+    """Lenders that announce their surplus tokens in their digests.
 
     Parameters
     ----------
     book : PeerBook
-        The peers.
+        Known peers.
     call : callable
-        ``await call(address, path, body, timeout_s)`` gives an answer's body, or
-        None when there was none.
+        ``await call(address, path, body, timeout_s)`` returns the response body, or
+        None if there was none.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     """
 
     def __init__(self, book, call, clock):
@@ -39,19 +38,21 @@
 
     def spare(self, workspace):
         """See ``LenderBase.spare``."""
-        since_s = self._clock() - _SPARE_LIFE_S
-        found = [
-            (peer.address, spare.tokens)
+        oldest_s = self._clock() - _SURPLUS_TTL_S
+        offers = [
+            (peer.address, offer.tokens)
             for peer in self._book.live()
-            if peer.heard_s >= since_s and not peer.digest.stopping
-            for spare in peer.digest.spare
-            if spare.workspace == workspace
+            if peer.heard_s >= oldest_s and not peer.digest.stopping
+            for offer in peer.digest.spare
+            if offer.workspace == workspace
         ]
-        return sorted(found, key=lambda entry: -entry[1])
+        return sorted(offers, key=lambda offer: -offer[1])
 
-    async def ask(self, address, ask):
+    async def ask(self, address, request):
         """See ``LenderBase.ask``."""
-        body = await self._call(address, LOANS_PATH, msgspec.msgpack.encode(ask), _ANSWER_LIMIT_S)
+        body = await self._call(
+            address, LOANS_PATH, msgspec.msgpack.encode(request), _LOAN_TIMEOUT_S
+        )
         if body is None:
             return 0
         try:
@@ -61,16 +62,16 @@
 
 
 class HolderLenders(LenderBase):
-    """The other holders of a workspace, where the fleet is too large for all to tell all.
+    """The other holders of a workspace, in fleets too large for each router to announce a surplus.
 
     Parameters
     ----------
     holders : HoldersBase
-        Who holds tokens.
+        Holders of each workspace's tokens.
     peers : PeerLenders
-        Asks; and tells who can spare what while every router holds tokens.
+        Sends the loan requests; its offers are used while every router is a holder.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     """
 
     def __init__(self, holders: HoldersBase, peers: PeerLenders, clock):
@@ -85,14 +86,14 @@
             return self._peers.spare(workspace)
         now_s = self._clock()
         return [
-            (address, _UNKNOWN_TOKENS)
+            (address, _ASSUMED_SURPLUS_TOKENS)
             for address in self._holders.other_holders(workspace)
             if self._empty_until_s.get((workspace, address), 0.0) <= now_s
         ]
 
-    async def ask(self, address, ask):
+    async def ask(self, address, request):
         """See ``LenderBase.ask``."""
-        tokens = await self._peers.ask(address, ask)
+        tokens = await self._peers.ask(address, request)
         if not tokens:
-            self._empty_until_s[ask.workspace, address] = self._clock() + _EMPTY_S
+            self._empty_until_s[request.workspace, address] = self._clock() + _EMPTY_BACKOFF_S
         return tokens
--- a/turnward/gateway/loans.py
+++ b/turnward/gateway/loans.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tokens lent from router to router, without the store.
-
-A router that can't get tokens from the store, or finds none left there, asks a
-peer that holds some. The lender counts what it lends as spent under its own
-grant before the answer leaves, and the borrower may spend it without a grant
-of its own. So the sum of all that is spent stays under the grants in the
-store, whoever dies and whatever answer is lost; a lost answer loses the
-tokens, no more.
+"""Loans of tokens between routers, without the store.
+
+A router that can't reach the store, or finds no tokens left there, borrows from a peer that holds
+some. The lender counts lent tokens as spent under its own grant before it responds, and the
+borrower may spend them without a grant of its own. So the total spent never exceeds the grants in
+the store, whichever router crashes; a lost response only loses the tokens that were lent.
 """
 
 from abc import ABC, abstractmethod
@@ -20,10 +18,10 @@
     "LenderBase",
     "Loan",
     "LoanAsk",
+    "LoanOffer",
     "LoanReturn",
     "LoanRule",
     "NoLenders",
-    "LoanOffer",
 ]
 
 LOANS_PATH = b"/state/loans"
@@ -31,18 +29,18 @@
 
 
 class LoanRule(msgspec.Struct, frozen=True):
-    """How much is lent and borrowed.
+    """Limits of loans.
 
     Attributes
     ----------
     max_lenders : int
-        Peers asked for one request's shortage at most.
+        Limit of peers asked to cover one request's shortage.
     lookahead_s : float
-        Seconds of demand that a loan covers beyond what waits.
+        Seconds of demand that a loan covers beyond the waiting requests.
     retained_s : float
-        Seconds of demand that a lender keeps for itself.
+        Seconds of demand that a lender retains for itself.
     min_offer_tokens : int
-        Fewer tokens are not offered.
+        Smallest surplus that is offered.
     """
 
     max_lenders: int = 4
@@ -52,26 +50,26 @@
 
 
 class LoanOffer(msgspec.Struct, frozen=True, array_like=True):
-    """What one router could lend of one workspace's tokens."""
+    """Surplus tokens of one workspace that a router offers to lend."""
 
     workspace: str
     tokens: int
 
 
 class LoanAsk(msgspec.Struct, frozen=True, array_like=True):
-    """A wish for tokens.
+    """Request for a loan of tokens.
 
     Attributes
     ----------
     required_tokens : int
-        What waiting requests need.
+        Tokens that waiting requests need.
     desired_tokens : int
-        What is of use soon.
+        Tokens that cover the expected demand as well.
     priority : int
-        Urgency of the request that needs them; 0 is the most urgent.
+        Priority of the request that needs the tokens; 0 is the most urgent.
     for_request : bool
-        The lender is a holder, and gets the tokens as though the request were its own;
-        else it lends only what it can spare.
+        Whether the lender is a holder and obtains the tokens as for a request of its own.
+        Otherwise it lends only from its surplus.
     """
 
     workspace: str
@@ -82,12 +80,12 @@
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens that are the borrower's from now on; 0 when none can be spared.
+    """Tokens that now belong to the borrower; 0 if the lender has no surplus.
 
     Attributes
     ----------
     exhausted : bool
-        The lender knows that nobody can give the tokens.
+        Whether the lender knows that the workspace's budget has too few tokens left.
     """
 
     tokens: int
@@ -95,31 +93,31 @@
 
 
 class LoanReturn(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens that the sender counts as spent, and that are the receiver's from now on."""
+    """Tokens that the sender has counted as spent and that now belong to the receiver."""
 
     workspace: str
     tokens: Annotated[int, msgspec.Meta(gt=0)]
 
 
 class LenderBase(ABC):
-    """The peers that may lend."""
+    """Peers that may lend tokens."""
 
     @abstractmethod
     def spare(self, workspace: str) -> list[tuple[str, int]]:
-        """Return address and spare tokens of each peer that has some, most first."""
+        """Return address and surplus tokens of each peer that has some, largest surplus first."""
 
     @abstractmethod
-    async def ask(self, address: str, ask: LoanAsk) -> int:
-        """Return the tokens that a peer lends; 0 when it lends none or was not reached."""
+    async def ask(self, address: str, request: LoanAsk) -> int:
+        """Return the tokens that a peer lends; 0 if it lends none or did not respond."""
 
 
 class NoLenders(LenderBase):
-    """A router without peers."""
+    """No lenders, for a router without peers."""
 
     def spare(self, workspace):
         """See ``LenderBase.spare``."""
         return []
 
-    async def ask(self, address, ask):
+    async def ask(self, address, request):
         """See ``LenderBase.ask``."""
         return 0
