--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -187,7 +187,7 @@
 class ClaimsNothing(AccountRestorer):
     """Broken: takes the copy's row for what is held."""
 
-    def _wanted(self, account, stored, row):
+    def _target(self, account, stored, row):
         return stored
 
 
