--- a/turnward/ledger/__init__.py
+++ b/turnward/ledger/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A process's own account of the tokens it may spend: pure decisions."""
+"""Accounting of the tokens that one process may spend, without input or output."""
 
 from turnward.ledger.demand import DemandMeter
 from turnward.ledger.ledger import (
--- a/turnward/ledger/ledger.py
+++ b/turnward/ledger/ledger.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The router's own account of its grants: pure decisions, no input or output."""
+"""Accounting of one router's grants and reservations, without input or output."""
 
 from enum import StrEnum
 
@@ -18,19 +18,19 @@
 ]
 
 
-#: A budget is near its end when less than so many times what is free here is ungranted.
+#: A budget is near its limit if its ungranted tokens are below this multiple of the free tokens.
 NEAR_LIMIT_FACTOR = 8
 
 
 class RefusalReason(StrEnum):
-    """Why a reservation was refused."""
+    """Reason why a reservation was refused."""
 
     EXHAUSTED = "budget_exhausted"
     UNREACHABLE = "budget_unreachable"
 
 
 class Reservation(msgspec.Struct):
-    """Tokens set aside for one request; settled once."""
+    """Tokens reserved for one request, to be settled once."""
 
     budget: str
     tokens: int
@@ -38,7 +38,7 @@
 
 
 class BudgetView(msgspec.Struct, frozen=True):
-    """The budget's row as last read by this router."""
+    """A budget's row as last read by this router."""
 
     limit_tokens: int
     ungranted_tokens: int
@@ -46,14 +46,14 @@
 
 
 class GrantRequest(msgspec.Struct, frozen=True):
-    """A wish for more tokens.
+    """Request for a larger grant.
 
     Attributes
     ----------
     required_tokens : int
-        What waiting requests need; less is of no use. 0 when nothing waits.
+        Tokens that waiting requests need, below which a grant is of no use; 0 if none wait.
     desired_tokens : int
-        What demand over the horizon calls for.
+        Tokens that cover the expected demand over the horizon.
     """
 
     required_tokens: int
@@ -61,29 +61,29 @@
 
 
 class SizingRule(msgspec.Struct, frozen=True):
-    """How far ahead grants are taken.
+    """How far ahead of demand grants are taken, and when they are returned.
 
     Attributes
     ----------
     horizon_s : float
-        Seconds of demand a full grant covers.
+        Seconds of demand that a full grant covers.
     minimum_tokens : int
-        Smallest grant worth a write.
+        Smallest grant that is worth a write.
     share : float
-        Largest part of the tokens within reach (ungranted, or free here) that
+        Largest share of the available tokens (ungranted, or free in this router) that
         one router claims beyond what waiting requests need.
     floor_share : float
-        Part of the tokens within reach that is held even without demand, so
-        that a router cut off from the table serves on.
+        Share of the available tokens that is held even without demand, so
+        that a router cut off from the table can still serve requests.
     bias_corrected : bool
         See ``DemandMeter``.
     idle_return_s : float
-        Idle time after which spare tokens are returned.
+        Idle time after which surplus tokens are returned.
     near_limit_refresh_s, default_refresh_s : float
-        Age at which a held budget's row is read again, near its end and
-        elsewhere.
+        Age at which the row of a budget with free tokens is read again, near
+        its limit and otherwise.
     evict_after_s : float
-        Time after which a budget that holds nothing is dropped.
+        Idle time after which a budget without held tokens is evicted.
     """
 
     horizon_s: float = 20.0
@@ -98,34 +98,34 @@
 
 
 class _Account:
-    """One budget's figures in this router."""
+    """State of one budget in this router."""
 
     __slots__ = (
-        "ahead",
-        "asked_s",
         "demand",
         "granted_tokens",
         "idle_since_s",
+        "prefetches",
         "refused_tokens",
+        "requested_s",
         "reserved_tokens",
         "settled_tokens",
         "view",
-        "viewed_s",
+        "view_read_s",
         "wanted_tokens",
     )
 
     def __init__(self, bias_corrected: bool):
-        self.ahead = True
+        self.prefetches = True
         self.granted_tokens = 0
         self.settled_tokens = 0
         self.reserved_tokens = 0
         self.wanted_tokens = 0
         self.refused_tokens = 0
-        self.asked_s = 0.0
+        self.requested_s = 0.0
         self.idle_since_s = 0.0
         self.demand = DemandMeter(bias_corrected=bias_corrected)
         self.view: BudgetView | None = None
-        self.viewed_s = 0.0
+        self.view_read_s = 0.0
 
     @property
     def free_tokens(self) -> int:
@@ -138,17 +138,17 @@
     Parameters
     ----------
     rule : SizingRule
-        How grants are sized.
+        How grants are sized and returned.
     """
 
     def __init__(self, rule: SizingRule):
         self._rule = rule
         self._accounts: dict[str, _Account] = {}
-        self._touched: set[str] = set()
+        self._recently_used: set[str] = set()
 
     @property
     def rule(self) -> SizingRule:
-        """How far ahead grants are taken."""
+        """How grants are sized and returned."""
         return self._rule
 
     @rule.setter
@@ -156,37 +156,37 @@
         self._rule = rule
 
     def budgets(self) -> list[str]:
-        """Return the budgets this router has dealt with."""
+        """Return the budgets that this router keeps an account of."""
         return list(self._accounts)
 
     def free_tokens(self, budget: str) -> int:
-        """Return what can still be reserved."""
+        """Return the tokens that can still be reserved."""
         account = self._accounts.get(budget)
         return account.free_tokens if account else 0
 
     def committed_tokens(self, budget: str) -> int:
-        """Return what is settled or reserved."""
+        """Return the tokens that are settled or reserved."""
         account = self._accounts.get(budget)
         return account.settled_tokens + account.reserved_tokens if account else 0
 
     def demand_tokens_per_s(self, budget: str, now_s: float) -> float:
-        """Return how fast a budget is drawn on here."""
+        """Return the rate of demand for a budget in this router."""
         account = self._accounts.get(budget)
         return account.demand.rate_tokens_per_s(now_s) if account else 0.0
 
-    def set_prefetch(self, budget: str, ahead: bool) -> None:
-        """Say whether tokens of a budget are held ahead of demand; they are by default."""
-        self._account(budget).ahead = ahead
+    def set_prefetch(self, budget: str, prefetches: bool) -> None:
+        """Set whether tokens of a budget are taken ahead of demand, as they are by default."""
+        self._account(budget).prefetches = prefetches
 
     def is_idle(self, budget: str, idle_s: float, now_s: float) -> bool:
-        """Tell whether free tokens lie here for which no request has asked lately."""
+        """Return whether free tokens are held that no request needed for ``idle_s`` seconds."""
         account = self._accounts.get(budget)
         if account is None or account.free_tokens <= 0 or account.reserved_tokens:
             return False
-        return now_s - account.asked_s >= idle_s
+        return now_s - account.requested_s >= idle_s
 
     def granted_tokens(self, budget: str) -> int:
-        """Return all tokens added here less those withdrawn."""
+        """Return all tokens added less those withdrawn."""
         account = self._accounts.get(budget)
         return account.granted_tokens if account else 0
 
@@ -198,14 +198,14 @@
     def reserve(
         self, budget: str, tokens: int, now_s: float, first_try: bool = True
     ) -> Result[Reservation, RefusalReason]:
-        """Set tokens aside, or say why not.
+        """Reserve tokens, or return why they are refused.
 
-        A refused request's need is remembered, so that the next plan asks for
-        it; ``first_try`` is False when the same request tries again.
+        The tokens of a refused request are recorded, so that the next plan
+        includes them; ``first_try`` is False when the same request tries again.
         """
         account = self._account(budget)
-        self._touched.add(budget)
-        account.asked_s = now_s
+        self._recently_used.add(budget)
+        account.requested_s = now_s
         if first_try:
             account.demand.add(tokens, now_s)
         if tokens <= account.free_tokens:
@@ -229,58 +229,58 @@
         return billed
 
     def unsettle(self, budget: str, tokens: int) -> None:
-        """Take back a settlement whose request proved to be billed already."""
+        """Revert a settlement, for example of a request that was billed before."""
         self._account(budget).settled_tokens -= tokens
 
     def add(self, budget: str, tokens: int) -> None:
-        """Take in tokens that the table granted."""
+        """Add tokens that were granted to this router."""
         self._account(budget).granted_tokens += tokens
 
     def withdraw(self, budget: str, tokens: int) -> int:
-        """Take up to ``tokens`` free tokens out, before they are returned."""
+        """Withdraw up to ``tokens`` free tokens to return them; return how many."""
         account = self._account(budget)
-        taken = max(0, min(tokens, account.free_tokens))
-        account.granted_tokens -= taken
-        return taken
+        withdrawn = max(0, min(tokens, account.free_tokens))
+        account.granted_tokens -= withdrawn
+        return withdrawn
 
     def observe(self, budget: str, view: BudgetView, now_s: float) -> None:
-        """Take in the budget's row as read."""
+        """Record the budget's row as read."""
         account = self._account(budget)
         account.view = view
-        account.viewed_s = now_s
+        account.view_read_s = now_s
 
     def plan_refreshes(self, now_s: float) -> list[str]:
-        """Return the held budgets whose row is to be read again.
+        """Return the budgets with free tokens whose row has to be read again.
 
-        A budget near its end is looked at often, so that tokens held here go
-        back when others run dry; all others seldom.
+        Rows of budgets near their limit are read more often, so that free tokens
+        are returned when other routers run out.
         """
         return [budget for budget in self._accounts if self.needs_refresh(budget, now_s)]
 
     def needs_refresh(self, budget: str, now_s: float) -> bool:
-        """Tell whether one budget's row is to be read again; see ``plan_refreshes``."""
+        """Return whether one budget's row has to be read again; see ``plan_refreshes``."""
         account = self._accounts.get(budget)
         if account is None or account.free_tokens <= 0 or account.view is None:
             return False
-        near = account.view.ungranted_tokens < NEAR_LIMIT_FACTOR * account.free_tokens
-        limit_s = self._rule.near_limit_refresh_s if near else self._rule.default_refresh_s
-        return now_s - account.viewed_s >= limit_s
+        near_limit = account.view.ungranted_tokens < NEAR_LIMIT_FACTOR * account.free_tokens
+        refresh_s = self._rule.near_limit_refresh_s if near_limit else self._rule.default_refresh_s
+        return now_s - account.view_read_s >= refresh_s
 
     def clear_wanted(self, budget: str) -> None:
-        """Forget what waiting requests wanted; they ask again if they still wait."""
+        """Clear the tokens wanted by refused requests; those that still wait try again."""
         self._account(budget).wanted_tokens = 0
 
     def plan_grants(self, now_s: float) -> dict[str, GrantRequest]:
-        """Return the budgets that need more tokens, and how many.
+        """Return the grant requests of the budgets that need more tokens.
 
-        Only budgets drawn on since the last plan are looked at.
+        Only budgets with reservations tried since the last plan are considered.
         """
-        touched, self._touched = self._touched, set()
-        asks = {budget: self.plan_grant(budget, now_s) for budget in touched}
-        return {budget: ask for budget, ask in asks.items() if ask is not None}
+        used, self._recently_used = self._recently_used, set()
+        requests = {budget: self.plan_grant(budget, now_s) for budget in used}
+        return {budget: request for budget, request in requests.items() if request is not None}
 
     def plan_grant(self, budget: str, now_s: float) -> GrantRequest | None:
-        """Return how many more tokens one budget needs, or None."""
+        """Return the grant request of one budget, or None if it needs no more tokens."""
         account = self._accounts.get(budget)
         if account is None:
             return None
@@ -288,39 +288,39 @@
         shortfall = max(0, account.wanted_tokens - account.free_tokens)
         if shortfall == 0 and account.free_tokens >= target / 2:
             return None
-        most = max(shortfall, int(target) - account.free_tokens)
-        return GrantRequest(shortfall, most) if most > 0 else None
+        desired = max(shortfall, int(target) - account.free_tokens)
+        return GrantRequest(shortfall, desired) if desired > 0 else None
 
     def evict_idle(self, now_s: float) -> None:
-        """Drop budgets that hold nothing and were not asked for lately."""
+        """Evict idle budgets that hold no tokens."""
         for budget, account in list(self._accounts.items()):
-            holds = account.granted_tokens - account.settled_tokens + account.reserved_tokens
-            rested = now_s - account.asked_s >= self._rule.evict_after_s
-            if not holds and rested and budget not in self._touched:
+            held = account.granted_tokens - account.settled_tokens + account.reserved_tokens
+            idle = now_s - account.requested_s >= self._rule.evict_after_s
+            if not held and idle and budget not in self._recently_used:
                 del self._accounts[budget]
 
     def plan_returns(self, now_s: float) -> dict[str, int]:
-        """Return the spare tokens of budgets, to be given back."""
-        spare = {budget: self.plan_return(budget, now_s) for budget in self._accounts}
-        return {budget: tokens for budget, tokens in spare.items() if tokens}
+        """Return the surplus tokens to return, by budget."""
+        surplus = {budget: self.plan_return(budget, now_s) for budget in self._accounts}
+        return {budget: tokens for budget, tokens in surplus.items() if tokens}
 
     def plan_return(self, budget: str, now_s: float) -> int:
-        """Return the spare tokens of one budget; 0 when none go back."""
+        """Return the surplus tokens of one budget, or 0."""
         account = self._accounts.get(budget)
         if account is None:
             return 0
-        useless = self._recalled(account) or self._too_little(account)
-        keep = 0 if useless else int(self._target_tokens(account, now_s) * 2)
+        unusable = self._is_recalled(account) or self._is_insufficient(account)
+        retained = 0 if unusable else int(self._target_tokens(account, now_s) * 2)
         idle = now_s - account.idle_since_s >= self._rule.idle_return_s
-        at_once = useless or self._is_scarce(account)
-        if useless:
+        immediate = unusable or self._is_scarce(account)
+        if unusable:
             account.refused_tokens = 0
-        if account.free_tokens > keep and (idle or at_once):
-            return account.free_tokens - keep
+        if account.free_tokens > retained and (idle or immediate):
+            return account.free_tokens - retained
         return 0
 
     def _target_tokens(self, account: _Account, now_s: float) -> float:
-        if not account.ahead:
+        if not account.prefetches:
             return 0.0
         rate = account.demand.rate_tokens_per_s(now_s)
         if rate < 1.0 and not self._rule.floor_share:
@@ -328,22 +328,22 @@
         target = max(self._rule.minimum_tokens, rate * self._rule.horizon_s)
         if account.view is None:
             return target
-        reach = account.view.ungranted_tokens + account.free_tokens
-        target = max(target, self._rule.floor_share * reach)
-        return max(0.0, min(target, self._rule.share * reach))
+        available = account.view.ungranted_tokens + account.free_tokens
+        target = max(target, self._rule.floor_share * available)
+        return max(0.0, min(target, self._rule.share * available))
 
     def _is_scarce(self, account: _Account) -> bool:
-        """Tell whether this router holds more than is left for all others to take."""
+        """Return whether this router has more free tokens than are left for all others to take."""
         return account.view is not None and account.view.ungranted_tokens < account.free_tokens
 
-    def _recalled(self, account: _Account) -> bool:
+    def _is_recalled(self, account: _Account) -> bool:
         return account.view is not None and account.view.ungranted_tokens < 0
 
-    def _too_little(self, account: _Account) -> bool:
-        """Tell whether the free tokens serve nobody here and the table can't add enough.
+    def _is_insufficient(self, account: _Account) -> bool:
+        """Return whether free and ungranted tokens together can't serve a refused request.
 
-        Such remainders are returned, so that those of many routers make up
-        one that is large enough.
+        Such remainders are returned, so that those of several routers add up
+        to a grant that is large enough.
         """
         if account.view is None or account.refused_tokens <= account.free_tokens:
             return False
@@ -355,8 +355,8 @@
         if view is None:
             return RefusalReason.UNREACHABLE
         own_settled = account.settled_tokens
-        left = view.limit_tokens - view.spent_tokens - own_settled
-        return RefusalReason.EXHAUSTED if left < tokens else RefusalReason.UNREACHABLE
+        remaining = view.limit_tokens - view.spent_tokens - own_settled
+        return RefusalReason.EXHAUSTED if remaining < tokens else RefusalReason.UNREACHABLE
 
     def _account(self, budget: str) -> _Account:
         account = self._accounts.get(budget)
--- a/turnward/ledger/tests/test_ledger.py
+++ b/turnward/ledger/tests/test_ledger.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The ledger against a naive account, and the budget schemes against each other."""
+"""Compares the ledger with a reference model, and the budget schemes with each other."""
 
 import pytest
 from hypothesis import given, settings
@@ -18,22 +18,22 @@
 @given(steps=STEPS)
 def test_ledger_matches_a_reference_model(steps):
     ledger, granted, settled, open_reservations = GrantLedger(SizingRule()), 0, 0, []
-    for kind, tokens in steps:
+    for action, tokens in steps:
         held = sum(reservation.tokens for reservation in open_reservations)
-        if kind == "add":
+        if action == "add":
             ledger.add("b", tokens)
             granted += tokens
-        elif kind == "reserve":
+        elif action == "reserve":
             result = ledger.reserve("b", tokens, 1.0)
             assert result.is_ok() == (tokens <= granted - settled - held)
             if result.is_ok():
                 open_reservations.append(result.ok)
-        elif kind == "settle" and open_reservations:
+        elif action == "settle" and open_reservations:
             reservation = open_reservations.pop()
             billed = ledger.settle(reservation, tokens)
             assert billed == min(tokens, reservation.tokens)
             settled += billed
-        elif kind == "withdraw":
+        elif action == "withdraw":
             granted -= ledger.withdraw("b", tokens)
         held = sum(reservation.tokens for reservation in open_reservations)
         assert ledger.free_tokens("b") == granted - settled - held >= 0
@@ -75,9 +75,9 @@
 @pytest.mark.parametrize(("skew", "shift"), [(0.7, False), (0.7, True)])
 def test_grants_cause_fewer_false_refusals_than_even_split_near_the_limit(outage_s, skew, shift):
     scenario = BudgetScenario(fill=0.9, skew=skew, shift=shift, outage_s=outage_s)
-    ours, naive = replay_budget(scenario, "grants"), replay_budget(scenario, "even_split")
-    assert ours.overspent_tokens == naive.overspent_tokens == 0
-    assert ours.false_refusals < naive.false_refusals / 3
+    grants, even_split = replay_budget(scenario, "grants"), replay_budget(scenario, "even_split")
+    assert grants.overspent_tokens == even_split.overspent_tokens == 0
+    assert grants.false_refusals < even_split.false_refusals / 3
 
 
 def test_idle_budget_is_evicted_and_a_held_one_is_not():
