--- a/turnward/gateway/tests/rollback_simulation.py
+++ b/turnward/gateway/tests/rollback_simulation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A store that goes back to an older copy, under gateways on the network in memory."""
+"""Simulates gateways on an in-memory network whose store is rolled back to an older copy."""
 
 import msgspec
 
@@ -8,102 +8,107 @@
 
 __all__ = ["RollbackSimulation"]
 
-#: Seconds between two writes of others, which let the store's numbers rise.
-_BEAT_S = 0.05
-#: Seconds between two copies of the store, and how many are kept.
-_COPY_S = 0.5
-_COPIES = 40
-#: Tables whose writers write again what the store has lost.
-WRITTEN_AGAIN = ("configuration", "endpoints")
+#: Interval of unrelated writes, which increment the store's version.
+_UNRELATED_WRITE_INTERVAL_S = 0.05
+_COPY_INTERVAL_S = 0.5
+_MAX_COPIES = 40
+#: Tables whose writers write lost rows again after a rollback.
+REWRITTEN_TABLES = ("configuration", "endpoints")
 
 
-class _Moment(msgspec.Struct, frozen=True):
-    """A copy and when it was made."""
+class _TimedCopy(msgspec.Struct, frozen=True):
+    """A copy of the store and the time when it was made."""
 
     time_s: float
     copy: RowsCopy
 
 
 class RollbackSimulation:
-    """Gateways before a store that can be away and come back from a copy.
+    """Gateways whose store can be unavailable and be restored from a copy.
 
     Parameters
     ----------
     gateways, endpoints : int
-        How many.
+        Number of gateways and of endpoints.
+    behave : callable
+        Behaviour of the endpoints.
     fields
-        Of the rig.
+        Passed to ``Rig``.
     """
 
     def __init__(self, gateways: int, endpoints: int = 4, behave=well, **fields):
         self.rig = Rig(**fields)
         self.endpoints = [self.rig.endpoint(behave) for _ in range(endpoints)]
         self.callers: list = []
-        self._moments: list[_Moment] = []
-        self._beat()
+        self._copies: list[_TimedCopy] = []
+        self._write_unrelated()
         self._copy()
         self.rig.ready(gateways)
 
     @property
     def now_s(self) -> float:
-        """The network's time."""
+        """Current time of the simulated network."""
         return self.rig.network.clock.seconds()
 
-    def _beat(self) -> None:
-        """Write a row that nobody follows, while the store is there."""
-        self.rig.network.clock.callLater(_BEAT_S, self._beat)
+    def _write_unrelated(self) -> None:
+        """Write a row that nobody reads, while the store is available."""
+        self.rig.network.clock.callLater(_UNRELATED_WRITE_INTERVAL_S, self._write_unrelated)
         if not self.rig.rows.faults.away:
             self.rig.rows.put("beats", "one", b"")
 
     def _copy(self) -> None:
-        self.rig.network.clock.callLater(_COPY_S, self._copy)
+        self.rig.network.clock.callLater(_COPY_INTERVAL_S, self._copy)
         if not self.rig.rows.faults.away:
-            self._moments.append(_Moment(self.now_s, self.rig.rows.copy()))
-            del self._moments[:-_COPIES]
+            self._copies.append(_TimedCopy(self.now_s, self.rig.rows.copy()))
+            del self._copies[:-_MAX_COPIES]
 
     def go_back(self, age_s: float, away_s: float = 0.6, written_again_s: float = 0.0) -> None:
-        """Let the store be away and come back from a copy of some age.
+        """Make the store unavailable for a while and restore it from an older copy.
 
         Parameters
         ----------
+        age_s : float
+            Age of the copy.
+        away_s : float
+            Duration of the outage.
         written_again_s : float
-            Seconds after the return at which operators and endpoints write again what was lost.
+            Time after the rollback when operators and endpoints write lost rows again.
         """
         rows = self.rig.rows
-        copies = [one for one in self._moments if one.time_s <= self.now_s - age_s]
-        copy = (copies or self._moments[:1])[-1].copy
-        lost = {key: row for key, row in rows.copy().rows.items() if key.table in WRITTEN_AGAIN}
+        copies = [timed for timed in self._copies if timed.time_s <= self.now_s - age_s]
+        copy = (copies or self._copies[:1])[-1].copy
+        lost = {key: row for key, row in rows.copy().rows.items() if key.table in REWRITTEN_TABLES}
         rows.faults.away = True
         self.run_traffic(away_s)
         rows.go_back(copy)
-        self._moments.clear()
+        self._copies.clear()
         rows.faults.away = False
         self.rig.network.clock.callLater(written_again_s, self._write_again, lost)
 
     def _write_again(self, lost: dict) -> None:
         for key, row in lost.items():
-            now = self.rig.rows.get(key)
-            if now.version > self.rig.rows.returned_at:
+            current = self.rig.rows.get(key)
+            if current.version > self.rig.rows.returned_at:
                 continue
-            if row.gone and now.version and not now.gone:
+            if row.gone and current.version and not current.gone:
                 self.rig.rows.remove(key.table, key.key)
-            elif not row.gone and now.value != row.value:
+            elif not row.gone and current.value != row.value:
                 self.rig.rows.put(key.table, key.key, row.value)
 
-    def up(self) -> list[int]:
-        """Return the numbers of the gateways that callers can reach."""
+    def reachable_gateways(self) -> list[int]:
+        """Return the indices of the gateways that callers can reach."""
         return list(range(len(self.rig.gateways)))
 
     def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
-        """Send a request to each gateway in turn, and go on for a while."""
+        """Send requests to the gateways round-robin for some seconds."""
         until_s = self.now_s + seconds
         while self.now_s < until_s:
-            up = self.up()
-            if up:
-                gateway = up[len(self.callers) % len(up)]
+            reachable = self.reachable_gateways()
+            if reachable:
+                gateway = reachable[len(self.callers) % len(reachable)]
                 self.callers.append(self.rig.send(gateway, **fields))
             self.rig.network.advance(pause_s)
 
     def statuses(self, since: int = 0) -> list[int]:
-        """Return the statuses of the callers from a number on; 0 where there is no answer."""
+        """Return the response statuses of the callers from an index on; 0 without a response."""
         return [(caller.status or 0) if answered(caller) else 0 for caller in self.callers[since:]]
