--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""No schedule of a holder, a borrower and their successors spends more than is prepaid.
+"""No schedule of a holder, a borrower and their successors spends more than the prepaid tokens.
 
-The schedules of ``test_prepaid`` with one router that holds none: what it asks for and
-hands back travels by messages that arrive, get lost, or whose answers get lost.
+Runs the schedules of ``test_prepaid`` with one router that holds no tokens. It borrows and returns
+tokens by messages that are delivered, are lost, or whose responses are lost.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 
 
 class OneHolder(EveryRouterHolds):
-    """The other router holds the tokens."""
+    """Holders as seen by a router of which the other router holds the tokens."""
 
     def holds(self, workspace):
         return False
@@ -39,10 +39,10 @@
 
 
 class SteppedCalls:
-    """Calls to the holder wait until the schedule decides."""
+    """Calls to the holder, which complete when the schedule decides their outcome."""
 
-    def __init__(self, world, index):
-        self.world = world
+    def __init__(self, simulation, index):
+        self.simulation = simulation
         self.index = index
         self.pending = []
 
@@ -52,36 +52,36 @@
         return await decided
 
     def decide(self, outcome):
-        """Let the oldest call end: ``done``, ``lost`` (done, never heard of) or ``refused``."""
+        """Complete the oldest call: ``done``, ``lost`` (done, but no response) or ``refused``."""
         if not self.pending:
             return
         path, body, decided = self.pending.pop(0)
         if outcome == "refused":
             decided.errback(NotSentError("refused"))
             return
-        answered = decided if outcome == "done" else defer.Deferred()
-        self.arrive(path, body, answered)
+        response = decided if outcome == "done" else defer.Deferred()
+        self.deliver(path, body, response)
         if outcome == "lost":
             decided.errback(UnansweredError("lost"))
 
-    def arrive(self, path, body, answered):
-        holder = self.world.routers[1 - self.index]
+    def deliver(self, path, body, response):
+        holder = self.simulation.routers[1 - self.index]
         if path == LOANS_PATH:
             lending = holder.lend_for_request(msgspec.msgpack.decode(body, type=LoanAsk))
-            lending.addCallback(lambda loan: answered.callback(msgspec.msgpack.encode(loan)))
+            lending.addCallback(lambda loan: response.callback(msgspec.msgpack.encode(loan)))
         else:
             holder.accept_return(msgspec.msgpack.decode(body, type=LoanReturn))
-            answered.callback(b"")
+            response.callback(b"")
 
 
-class HolderWorld(PrepaidSimulation):
-    """Router 0 holds tokens; router 1 asks it for each request."""
+class HolderSimulation(PrepaidSimulation):
+    """Router 0 holds tokens; router 1 borrows from it for each request."""
 
     client_type = HolderClient
 
     def start(self, index):
         self.calls = getattr(self, "calls", [None, None])
-        old = self.calls[index]
+        previous = self.calls[index]
         super().start(index)
         router = self.routers[index]
         self.calls[index] = SteppedCalls(self, index)
@@ -90,10 +90,10 @@
             router.holder_client = self.client_type(
                 router._holders, self.calls[index].call, router._log
             )
-            if old is not None:
-                # What the dead one had asked for may still arrive.
-                for path, body, _ in old.pending:
-                    self.calls[index].arrive(path, body, defer.Deferred())
+            if previous is not None:
+                # Calls of the crashed router may still be delivered.
+                for path, body, _ in previous.pending:
+                    self.calls[index].deliver(path, body, defer.Deferred())
 
     def step(self, action):
         if action[0] == "call":
@@ -103,7 +103,7 @@
         super().step(action)
 
     def spend(self, index, tokens):
-        # Half of it is used: the rest is handed back.
+        # Half of the tokens are used; the remainder is returned.
         answer = self.routers[index].reserve("acme", tokens, 0, 2)
         self._spend_when_answered(index, answer)
 
@@ -118,17 +118,17 @@
 
 
 class LendsWithoutCounting(PrepaidAccounts):
-    """Broken: lets a request have tokens that stay free at the holder."""
+    """Broken: lent tokens stay free at the lender."""
 
-    def _loan_from(self, ask, answer):
-        loan = super()._loan_from(ask, answer)
+    def _loan_from(self, request, answer):
+        loan = super()._loan_from(request, answer)
         if loan.tokens:
-            self.ledger.unsettle(ask.workspace, loan.tokens)
+            self.ledger.unsettle(request.workspace, loan.tokens)
         return loan
 
 
 class ReturnsTokensItKeeps(PrepaidAccounts):
-    """Broken: tokens that are handed back stay free at the sender."""
+    """Broken: returned tokens stay free at the sender."""
 
     async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
@@ -136,8 +136,8 @@
             await self.holder_client.return_tokens(workspace, tokens)
 
 
-class TakesLostTokensBack(PrepaidAccounts):
-    """Broken: takes a message whose answer is lost for one that was not read."""
+class ReclaimsLostTokens(PrepaidAccounts):
+    """Broken: treats a message whose response was lost as not delivered."""
 
     async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
@@ -150,7 +150,7 @@
 
 
 class LendsUngrantedTokens(PrepaidAccounts):
-    """Broken: lends what it has neither granted nor reported."""
+    """Broken: lends tokens that were neither granted nor reported."""
 
     def _reserve_locally(self, workspace, tokens, priority):
         self.ledger.add(workspace, tokens)
@@ -158,17 +158,17 @@
 
 
 class ReturnsTokensTwice(HolderClient):
-    """Broken: sends tokens to the next holder when the first does not answer."""
+    """Broken: sends the same tokens again when the holder does not respond."""
 
     async def return_tokens(self, workspace, tokens):
-        became = await super().return_tokens(workspace, tokens)
-        if became is ReturnOutcome.LOST:
-            became = await super().return_tokens(workspace, tokens)
-        return became
+        outcome = await super().return_tokens(workspace, tokens)
+        if outcome is ReturnOutcome.LOST:
+            outcome = await super().return_tokens(workspace, tokens)
+        return outcome
 
 
 class CountsReturnsAsOwn(PrepaidAccounts):
-    """Broken: its reports leave out what came back, so that it seems unspent to a successor."""
+    """Broken: reports omit returned tokens, so that a successor takes them for unspent."""
 
     def accept_return(self, returned):
         super().accept_return(returned)
@@ -185,8 +185,8 @@
 ]
 
 
-def play_seed(seed, accounts_type=PrepaidAccounts, client_type=HolderClient):
-    simulation_type = type("World", (HolderWorld,), {"client_type": client_type})
+def run_seed(seed, accounts_type=PrepaidAccounts, client_type=HolderClient):
+    simulation_type = type("Simulation", (HolderSimulation,), {"client_type": client_type})
     return run_schedule(random_schedule(seed, SCHEDULE_ACTIONS), accounts_type, simulation_type)
 
 
@@ -194,13 +194,13 @@
     actions = [*(action for action in ACTIONS if action[0] != "loan"), *CALLS]
     prefix = [("calm", 0, 0.5), ("spend", 0, 6), ("spend", 1, 6)]
     for schedule in itertools.product(actions, repeat=3):
-        run_schedule(prefix + list(schedule), simulation_type=HolderWorld)
+        run_schedule(prefix + list(schedule), simulation_type=HolderSimulation)
 
 
 def test_random_schedules_keep_the_limit():
     spent = 0
     for seed in range(300):
-        spent += play_seed(seed).spent
+        spent += run_seed(seed).spent
     assert spent > 300 * LIMIT / 8
 
 
@@ -209,7 +209,7 @@
     [
         LendsWithoutCounting,
         ReturnsTokensItKeeps,
-        TakesLostTokensBack,
+        ReclaimsLostTokens,
         LendsUngrantedTokens,
         ReturnsTokensTwice,
         CountsReturnsAsOwn,
@@ -218,27 +218,27 @@
 def test_random_schedules_catch_a_broken_variant(broken):
     is_client = issubclass(broken, HolderClient)
     variant = {"client_type": broken} if is_client else {"accounts_type": broken}
-    assert is_caught(lambda seed: play_seed(seed, **variant), seeds=2_000)
+    assert is_caught(lambda seed: run_seed(seed, **variant), seeds=2_000)
 
 
 def test_request_waits_for_the_store_when_no_holder_answers():
-    world = HolderWorld()
-    world.calm(1.0)
+    simulation = HolderSimulation()
+    simulation.calm(1.0)
     answers = []
-    world.routers[1].reserve("acme", 6).addCallback(answers.append)
-    while world.calls[1].pending:
-        world.calls[1].decide("refused")
+    simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
+    while simulation.calls[1].pending:
+        simulation.calls[1].decide("refused")
     assert answers == []
-    world.calm(0.5)
+    simulation.calm(0.5)
     assert isinstance(answers[0], Reservation)
 
 
 def test_holder_reports_an_exhausted_budget():
-    world = HolderWorld()
-    world.calm(1.0)
+    simulation = HolderSimulation()
+    simulation.calm(1.0)
     answers = []
-    world.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
-    while world.calls[1].pending:
-        world.calls[1].decide("done")
-    world.calm(0.5)
+    simulation.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
+    while simulation.calls[1].pending:
+        simulation.calls[1].decide("done")
+    simulation.calm(0.5)
     assert answers == [BudgetRefusal.EXHAUSTED]
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""In a large fleet a few routers hold a workspace's tokens, and all others ask them."""
+"""In a large fleet a few routers hold a workspace's tokens, and all others borrow from them."""
 
 import msgspec
 import pytest
@@ -15,22 +15,22 @@
 from turnward.gateway.tests.rig import ENGINE_POOL, KEY, PEERS_PORT, Rig, answered, stream
 from turnward.rows import RowKey
 
-KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
+ROW_KEY = RowKey(TABLE, "acme", ROW_NAME)
 
 
 def fleet_of(size, limit=8):
-    """Return the rankings of each router of a fleet."""
+    """Return the holders as seen by each router of a fleet, by the router's address."""
     clock = task.Clock()
     addresses = [f"10.0.{number // 200}.{number % 200}:80" for number in range(size)]
-    found = {}
+    fleet = {}
     for own in addresses:
         book = PeerBook(own, clock.seconds)
         for number, address in enumerate(addresses):
             book.add_member(address, f"z{number % 3}")
         book.members_read = True
-        found[own] = RendezvousHolders(book, clock.seconds, limit)
+        fleet[own] = RendezvousHolders(book, clock.seconds, limit)
     clock.advance(1.0)
-    return found
+    return fleet
 
 
 @pytest.mark.parametrize("limit", [1, HOLDERS_PER_WORKSPACE, 8])
@@ -58,8 +58,8 @@
 
 def test_unresponsive_holder_is_skipped_for_a_while():
     ranking = next(iter(fleet_of(30).values()))
-    silent, *rest = ranking.other_holders("a")
-    ranking.mark_unresponsive(silent)
+    unresponsive, *rest = ranking.other_holders("a")
+    ranking.mark_unresponsive(unresponsive)
     assert set(ranking.other_holders("a")) == set(rest)
 
 
@@ -79,11 +79,11 @@
 
 def test_tokens_do_not_move_while_members_are_added():
     rig = large_rig()
-    holders = [number for number, holder in enumerate(holds(rig)) if holder]
+    holders = [number for number, is_holder in enumerate(holds(rig)) if is_holder]
     held = [rig.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
     assert min(held) > 0
     for number in range(12):
-        # One more each 0.2 s: what is known of the members is never settled.
+        # With a new member every 0.2 s the membership is never settled.
         for gateway in rig.gateways:
             gateway.book.add_member(f"10.8.0.{number}:{PEERS_PORT}", "z")
         rig.network.advance(0.2)
@@ -92,7 +92,7 @@
     assert (moved, committed) == (0, 0)
 
 
-# The same through whole gateways.
+# Tests with whole gateways.
 
 
 def large_rig(gateways=12, prepaid=400_000):
@@ -116,30 +116,30 @@
 def test_only_holders_have_grants_and_write_reports():
     rig = large_rig()
     assert sum(holds(rig)) == HOLDERS_PER_WORKSPACE
-    names = {
+    incarnations = {
         gateway.incarnation
-        for gateway, holder in zip(rig.gateways, holds(rig), strict=True)
-        if holder
+        for gateway, is_holder in zip(rig.gateways, holds(rig), strict=True)
+        if is_holder
     }
-    assert set(decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens) == names
+    assert set(decode_account(rig.rows.get(ROW_KEY)).granted_tokens) == incarnations
     written = {
         row.key.key
         for gateway in rig.gateways
         for row in rig.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
     }
-    assert written == names
+    assert written == incarnations
 
 
 def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
     rig = large_rig()
-    other = holds(rig).index(False)
-    assert [ask(rig, other).status for _ in range(5)] == [200] * 5
+    borrower = holds(rig).index(False)
+    assert [ask(rig, borrower).status for _ in range(5)] == [200] * 5
     rig.network.advance(2.0)
-    accounts = rig.gateways[other].accounts
+    accounts = rig.gateways[borrower].accounts
     assert accounts.ledger.free_tokens("acme") == 0
     assert (
-        rig.gateways[other].incarnation
-        not in decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+        rig.gateways[borrower].incarnation
+        not in decode_account(rig.rows.get(ROW_KEY)).granted_tokens
     )
     used = 5 * (8_000 + 4 * 5)
     own = [gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways]
@@ -152,58 +152,58 @@
 
 def test_concurrent_requests_do_not_use_the_same_tokens():
     rig = large_rig()
-    other = holds(rig).index(False)
-    first = rig.ask(other, method=b"POST", body=b"", headers=rig.prompt(1_000, 400))
+    borrower = holds(rig).index(False)
+    first = rig.ask(borrower, method=b"POST", body=b"", headers=rig.prompt(1_000, 400))
     assert first.status == 200
-    # What the first one left over is free here for a moment.
+    # The tokens that the first request left unused are free here for a moment.
     callers = [
-        rig.send(other, method=b"POST", body=b"", headers=rig.prompt(tokens, 400))
+        rig.send(borrower, method=b"POST", body=b"", headers=rig.prompt(tokens, 400))
         for tokens in (2_000, 3_000, 4_000, 5_000)
     ]
     assert rig.network.advance_until(lambda: all(map(answered, callers)))
     assert [caller.status for caller in callers] == [200] * 4
-    assert not rig.logs[other].of("prepaid.taken")
+    assert not rig.logs[borrower].of("prepaid.taken")
 
 
 def test_holders_are_asked_round_robin():
     rig = large_rig()
-    other = holds(rig).index(False)
+    borrower = holds(rig).index(False)
     for _ in range(10):
-        ask(rig, other, tokens=500)
+        ask(rig, borrower, tokens=500)
     lent = [
         len(log.of("prepaid.lent"))
-        for log, holder in zip(rig.logs, holds(rig), strict=True)
-        if holder
+        for log, is_holder in zip(rig.logs, holds(rig), strict=True)
+        if is_holder
     ]
     assert min(lent) >= 5
 
 
 def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
     rig = large_rig()
-    other = holds(rig).index(False)
-    for number, holder in enumerate(holds(rig)):
-        if holder:
+    borrower = holds(rig).index(False)
+    for number, is_holder in enumerate(holds(rig)):
+        if is_holder:
             rig.machines[number].kill()
-    assert ask(rig, other).status == 200
-    assert decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens[rig.gateways[other].incarnation]
+    assert ask(rig, borrower).status == 200
+    assert decode_account(rig.rows.get(ROW_KEY)).granted_tokens[rig.gateways[borrower].incarnation]
 
 
 def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
     rig = large_rig()
-    none = [
+    non_holders = [
         number for number, gateway in enumerate(rig.gateways) if not gateway.holders.holds("acme")
     ]
-    for number, holder in enumerate(holds(rig)):
-        if holder:
+    for number, is_holder in enumerate(holds(rig)):
+        if is_holder:
             rig.machines[number].kill()
     for client in rig.clients:
         client.faults.away = True
     rig.network.advance(1.0)
-    assert ask(rig, none[0]).status == 503
+    assert ask(rig, non_holders[0]).status == 503
     for client in rig.clients:
         client.faults.away = False
     rig.network.advance(6.0)
-    assert ask(rig, none[0]).status == 200
+    assert ask(rig, non_holders[0]).status == 200
 
 
 def test_routers_cut_off_from_the_store_borrow_from_holders():
@@ -211,7 +211,7 @@
     for client in rig.clients:
         client.faults.away = True
     rig.network.advance(6.0)
-    # Within what the holders' last reports let them spend at once.
+    # Few enough tokens for the spend bounds in the holders' last reports.
     served = [ask(rig, number, tokens=1_500).status for number in range(12)]
     assert served == [200] * 12
 
@@ -223,8 +223,8 @@
 
 def test_request_cancelled_while_borrowing_costs_no_tokens():
     rig = large_rig()
-    other = holds(rig).index(False)
-    caller = rig.send(other, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
+    borrower = holds(rig).index(False)
+    caller = rig.send(borrower, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
     caller.transport.abortConnection()
     rig.network.advance(3.0)
     own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in rig.gateways)
@@ -236,7 +236,7 @@
     holder = holds(rig).index(True)
     accounts = rig.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
-    # More than is held, so that it has to wait for the store.
+    # More tokens than are held, so that the loan has to wait for the store.
     lending = accounts.lend_for_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
     lending.addErrback(lambda failure: None)
     lending.cancel()
@@ -277,5 +277,5 @@
     machine.restart()
     rig.run_gateway(machine, gateway.incarnation.partition("@")[0])
     rig.network.advance(2.0)
-    granted = decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+    granted = decode_account(rig.rows.get(ROW_KEY)).granted_tokens
     assert gateway.incarnation not in granted
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Routers that are cut off from the store lend each other tokens."""
+"""Routers without access to the store lend each other tokens."""
 
 import msgspec
 import pytest
@@ -26,8 +26,8 @@
     return rig
 
 
-def ask_often(rig, gateway, count, tokens=8_000, pause_s=0.4):
-    """Ask again and again; return how many were served."""
+def count_served(rig, gateway, count, tokens=8_000, pause_s=0.4):
+    """Send requests one after another; return how many were served."""
     served = 0
     for _ in range(count):
         headers = rig.prompt(tokens, 20)
@@ -38,14 +38,14 @@
 
 def test_gateway_cut_off_from_the_store_borrows_from_its_peer():
     rig = loan_rig()
-    assert ask_often(rig, 0, 4) == 4
+    assert count_served(rig, 0, 4) == 4
     for client in rig.clients:
         client.faults.away = True
     rig.network.advance(6.0)
     lender, borrower = (gateway.accounts.ledger for gateway in rig.gateways)
     own = borrower.free_tokens("acme") // 2_020
     assert lender.free_tokens("acme") >= 10 * 2_020
-    assert ask_often(rig, 1, own + 4, tokens=2_000) == own + 4
+    assert count_served(rig, 1, own + 4, tokens=2_000) == own + 4
     assert rig.logs[0].of("prepaid.lent")
     assert rig.logs[1].of("prepaid.borrowed")
     assert rig.logs[1].of("prepaid.borrowed")[0]["tokens"] > 0
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Kills of all gateways, a store away at the start, bounds on repeats, early answers."""
+"""Crashes of all gateways, store outages at the start, retry budgets and early responses."""
 
 import msgspec
 import pytest
@@ -18,7 +18,7 @@
 
 
 def restart(rig, index):
-    """Kill a gateway's process and start another on the same machine."""
+    """Kill a gateway's process and start another on its machine."""
     machine = rig.machines[index]
     machine.kill()
     machine.restart()
@@ -33,21 +33,21 @@
     rig.network.advance(1.0)
     served = 0
     for _ in range(4):
-        for turn in range(6):
+        for number in range(6):
             headers = rig.prompt(8_000, 20)
-            caller = rig.ask(gateway=-1 - turn % 2, method=b"POST", body=b"", headers=headers)
+            caller = rig.ask(gateway=-1 - number % 2, method=b"POST", body=b"", headers=headers)
             served += caller.status == 200
         restarted = [restart(rig, index) for index in (0, 1)]
         assert rig.network.advance_until(lambda: all(g.ready for g in restarted))  # noqa: B023
         rig.network.advance(1.0)
     assert served >= 18
-    # 8,000 tokens in and 4 events of 5 tokens out, for each run.
+    # Each request has a prompt of 8,000 tokens and 4 events of 5 tokens.
     assert len(endpoint.requests) * 8_020 <= 400_000
 
 
 @pytest.mark.parametrize("away_s", [0.5, 6.0, 20.0])
 def test_gateways_serve_again_after_an_outage_longer_than_a_lease(away_s):
-    """Successors failed on reports whose lease was over, and got no tokens at all."""
+    """Guards against successors that fail on expired reports and get no tokens."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0)
     rig.endpoint(stream(4))
@@ -65,8 +65,8 @@
     assert rig.network.advance_until(lambda: all(gateway.ready for gateway in started))
     rig.network.advance(1.0)
     served = 0
-    for turn in range(8):
-        caller = rig.ask(gateway=-1 - turn % 2, method=b"POST", body=b"", headers=headers)
+    for number in range(8):
+        caller = rig.ask(gateway=-1 - number % 2, method=b"POST", body=b"", headers=headers)
         served += caller.status == 200
     assert served == 8
     assert not [line for log in rig.logs for line in log.of("prepaid.fault")]
@@ -78,8 +78,8 @@
     rig.ready(gateways=1)
     rig.network.advance(1.0)
     rig.rows.faults.away = True
-    late = rig.gateway()
-    assert rig.network.advance_until(lambda: late.ready, limit_s=3.0)
+    started = rig.gateway()
+    assert rig.network.advance_until(lambda: started.ready, limit_s=3.0)
     assert rig.ask(gateway=1).status == 200
 
 
@@ -102,22 +102,22 @@
         rig.endpoint(reset)
     rig.ready(gateways=2)
     rig.network.advance(1.0)
-    asked = 0
-    for turn in range(150):
-        rig.ask(gateway=turn % 2)
-        asked += 1
-    arrivals = sum(len(endpoint.requests) for endpoint in rig.endpoints)
-    # GatewaySettings: ratio 0.2, slack 50, in windows of 10 s; the run is shorter than that.
+    requests = 0
+    for number in range(150):
+        rig.ask(gateway=number % 2)
+        requests += 1
+    attempts = sum(len(endpoint.requests) for endpoint in rig.endpoints)
+    # GatewaySettings: retry ratio 0.2, slack 50, in windows of 10 s; the run fits into one.
     assert rig.network.clock.seconds() < 10.0
-    assert arrivals - asked <= 0.2 * asked + 50
+    assert attempts - requests <= 0.2 * requests + 50
 
 
 def test_early_response_is_forwarded_and_the_remaining_body_is_discarded():
-    def early(endpoint, request):
+    def respond_early(endpoint, request):
         request.answer(200, answer_head(request), b"early")
 
     rig = Rig(repeat=Repeat.ONCE, time_limit_s=20.0)
-    endpoint = rig.endpoint(early)
+    endpoint = rig.endpoint(respond_early)
     endpoint.early = True
     rig.ready()
     caller = rig.connect()
@@ -181,7 +181,7 @@
 
 
 def test_endpoints_whose_entries_expired_during_a_store_outage_stay_in_use():
-    """Without the mend no request is served until the entries are back."""
+    """Guards against requests that are not served until the entries are back."""
     rig = Rig()
     endpoints = [rig.endpoint(well) for _ in range(4)]
     rig.ready()
--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""No schedule of returns, losses, late writes and deaths lets routers spend more than is prepaid.
+"""No schedule of rollbacks, lost or late writes and crashes spends more than the prepaid tokens.
 
-The schedules of ``test_prepaid``, with a store that goes back to an older copy as one more step.
+Runs the schedules of ``test_prepaid`` with rollbacks of the store to older copies as further steps.
 """
 
 import itertools
@@ -29,8 +29,8 @@
 )
 
 
-class ReturningStore(SteppedStore):
-    """Numbers alone are sent, and each answer names the era that it is of."""
+class RollbackStore(SteppedStore):
+    """Store client that sends version numbers without eras; each response names the era."""
 
     def __init__(self, rows):
         super().__init__(rows)
@@ -51,7 +51,7 @@
         sent = msgspec.structs.replace(transaction, changes=changes)
         number = await self._wait("write", sent)
         if era is not None and self._eras.known != era:
-            raise RowOutcomeUnknownError("done after the store came back")
+            raise RowOutcomeUnknownError("done after a rollback of the store")
         return self._eras.version(number)
 
     def decide(self, outcome):
@@ -62,11 +62,11 @@
         if outcome == "refused":
             decided.errback(RowsUnavailableError("refused"))
         elif kind == "read":
-            self._answer()
+            self._note_response()
             if isinstance(payload, RowKey):
-                decided.callback(self._labelled(self.rows.get(payload)))
+                decided.callback(self._with_era(self.rows.get(payload)))
             else:
-                rows = tuple(map(self._labelled, self.rows.table(*payload)))
+                rows = tuple(map(self._with_era, self.rows.table(*payload)))
                 decided.callback(TableChanges(rows, self._eras.version(self.rows.version)))
         elif outcome == "late":
             self.late.append(payload)
@@ -79,30 +79,30 @@
         try:
             number = self.rows.apply(transaction)
         except VersionConflictError as conflict:
-            self._answer()
-            rows = tuple(map(self._labelled, conflict.rows))
+            self._note_response()
+            rows = tuple(map(self._with_era, conflict.rows))
             decided.errback(VersionConflictError(str(conflict), rows))
             return
         if outcome == "lost":
             decided.errback(RowOutcomeUnknownError("lost"))
             return
-        self._answer()
+        self._note_response()
         decided.callback(number)
 
-    def _answer(self):
+    def _note_response(self):
         self.answered_s = self.rows.clock.seconds()
         self._eras.note_answer(self.rows.era)
 
-    def _labelled(self, row):
+    def _with_era(self, row):
         if not row.version:
             return row
         return msgspec.structs.replace(row, version=self._eras.version(row.version))
 
 
-class ReturningWorld(PrepaidSimulation):
-    """Two routers before a store that can go back."""
+class RollbackStoreSimulation(PrepaidSimulation):
+    """Two routers whose store can be rolled back."""
 
-    store_type = ReturningStore
+    store_type = RollbackStore
 
     def __init__(self, *arguments, **fields):
         self.copies = []
@@ -110,19 +110,19 @@
 
     def start(self, index):
         super().start(index)
-        self.routers[index].on_written = self.tell
+        self.routers[index].on_written = self.exchange_updates
         for router in filter(None, self.routers):
-            # A router that hears of another one for the first time tells it all, before the next
-            # one dies: if all who know die at once, nobody can tell what the store has lost.
+            # Routers announce everything to a new router before the next crash: if all that know a
+            # row crash at once, what the store lost of it can't be restored.
             router.news.announce_all()
-        self.tell()
+        self.exchange_updates()
 
-    def tell(self):
-        """Play a round of messages."""
-        one, other = self.routers
-        if one is not None and other is not None:
-            one.news.take_in(other.news.told())
-            other.news.take_in(one.news.told())
+    def exchange_updates(self):
+        """Exchange one round of messages."""
+        first, second = self.routers
+        if first is not None and second is not None:
+            first.news.take_in(second.news.told())
+            second.news.take_in(first.news.told())
 
     def step(self, action):
         if action[0] == "copy":
@@ -131,39 +131,39 @@
             self.rows.go_back(self.copies[action[1] % len(self.copies)])
             self.copies.clear()
         elif action[0] == "time":
-            self.tell()
+            self.exchange_updates()
         super().step(action)
 
     def check(self):
         assert self.spent <= self.limit
 
 
-RETURNS = [("copy", 0), ("back", 0)]
-MORE_RETURNS = [
+ROLLBACK_ACTIONS = [("copy", 0), ("back", 0)]
+RANDOM_ROLLBACK_ACTIONS = [
     *RANDOM_ACTIONS,
-    *RETURNS,
-    *RETURNS,
+    *ROLLBACK_ACTIONS,
+    *ROLLBACK_ACTIONS,
     ("back", 1),
     ("calm", 0, 1.5),
     ("calm", 0, 1.5),
 ]
 CALM = ("calm", 0, 1.5)
-#: What routers hold and have told before the schedule begins.
-BEGUN = (CALM, ("copy", 0), ("spend", 0, 13), CALM, ("spend", 1, 6), CALM)
+#: Actions before the schedule, after which both routers hold tokens and have announced them.
+SETUP = (CALM, ("copy", 0), ("spend", 0, 13), CALM, ("spend", 1, 6), CALM)
 
 
-def play(schedule, accounts_type=PrepaidAccounts):
-    world = ReturningWorld(accounts_type)
+def run_schedule(schedule, accounts_type=PrepaidAccounts):
+    simulation = RollbackStoreSimulation(accounts_type)
     for action in schedule:
-        world.step(action)
-    return world
+        simulation.step(action)
+    return simulation
 
 
 def is_caught(seeds):
-    """Tell whether a random schedule breaks the limit."""
+    """Return whether a random schedule exceeds the limit."""
     for seed in seeds:
         try:
-            play(random_schedule(seed, MORE_RETURNS, 140))
+            run_schedule(random_schedule(seed, RANDOM_ROLLBACK_ACTIONS, 140))
         except AssertionError:
             return True
     return False
@@ -173,32 +173,32 @@
     steps = [action for action in ACTIONS if action[0] != "loan"]
     ends = (CALM, ("spend", 0, 25), CALM, ("spend", 1, 25), CALM, ("spend", 0, 13), CALM)
     for schedule in itertools.product(steps, steps):
-        play((*BEGUN, ("back", 0), *schedule, *ends))
-        play((*BEGUN, schedule[0], ("back", 0), schedule[1], *ends))
-        play((*BEGUN, *schedule, ("back", 0), *ends))
+        run_schedule((*SETUP, ("back", 0), *schedule, *ends))
+        run_schedule((*SETUP, schedule[0], ("back", 0), schedule[1], *ends))
+        run_schedule((*SETUP, *schedule, ("back", 0), *ends))
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
 def test_no_random_schedule_exceeds_the_limit_after_rollbacks(first):
     for seed in range(first, first + 50):
-        play(random_schedule(seed, MORE_RETURNS, 140))
+        run_schedule(random_schedule(seed, RANDOM_ROLLBACK_ACTIONS, 140))
 
 
 class ClaimsNothing(AccountRestorer):
-    """Broken: takes the copy's row for what is held."""
+    """Broken: uses the rolled back row as it is."""
 
     def _target(self, account, stored, row):
         return stored
 
 
-def believes_every_report(row, now_s, era):
-    """Broken: takes a report of an earlier era for the last one."""
+def trust_every_report(row, now_s, era):
+    """Broken: treats a report of an earlier era as the latest one."""
     report = msgspec.json.decode(row.value, type=spending.SpendReport)
     return BOUNDS(row, now_s, report.era)
 
 
-def counts_on_from_the_copy(account, era, incarnation, held_tokens, known):
-    """Broken: claims what is held, and takes all that the copy lacks besides for free."""
+def ignore_known_rows(account, era, incarnation, held_tokens, known):
+    """Broken: claims its own grant only, and treats other tokens that the copy lacks as free."""
     return RESTORE(account, era, incarnation, held_tokens, None)
 
 
@@ -208,9 +208,9 @@
 
 BROKEN = {
     "claims nothing": (prepaid, "AccountRestorer", ClaimsNothing),
-    "believes every report": (spending, "_bounds", believes_every_report),
-    "counts on from the copy": (restoring, "restore_account", counts_on_from_the_copy),
-    "takes before it claims": (AccountRestorer, "is_current", lambda *_: True),
+    "trusts every report": (spending, "_bounds", trust_every_report),
+    "ignores known rows": (restoring, "restore_account", ignore_known_rows),
+    "takes tokens before claiming": (AccountRestorer, "is_current", lambda *_: True),
 }
 
 
