--- a/turnward/gateway/tests/rollback_simulation.py
+++ b/turnward/gateway/tests/rollback_simulation.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from turnward.gateway.tests.rig import Rig, answered, well
+from turnward.gateway.tests.harness import Harness, answer_ok, answered
 from turnward.standins import RowsCopy
 
 __all__ = ["RollbackSimulation"]
@@ -36,30 +36,30 @@
         Passed to ``Rig``.
     """
 
-    def __init__(self, gateways: int, endpoints: int = 4, behave=well, **fields):
-        self.rig = Rig(**fields)
-        self.endpoints = [self.rig.endpoint(behave) for _ in range(endpoints)]
+    def __init__(self, gateways: int, endpoints: int = 4, behave=answer_ok, **fields):
+        self.harness = Harness(**fields)
+        self.endpoints = [self.harness.endpoint(behave) for _ in range(endpoints)]
         self.callers: list = []
         self._copies: list[_TimedCopy] = []
         self._write_unrelated()
         self._copy()
-        self.rig.ready(gateways)
+        self.harness.ready(gateways)
 
     @property
     def now_s(self) -> float:
         """Current time of the simulated network."""
-        return self.rig.network.clock.seconds()
+        return self.harness.network.clock.seconds()
 
     def _write_unrelated(self) -> None:
         """Write a row that nobody reads, while the store is available."""
-        self.rig.network.clock.callLater(_UNRELATED_WRITE_INTERVAL_S, self._write_unrelated)
-        if not self.rig.rows.faults.away:
-            self.rig.rows.put("beats", "one", b"")
+        self.harness.network.clock.callLater(_UNRELATED_WRITE_INTERVAL_S, self._write_unrelated)
+        if not self.harness.rows.faults.away:
+            self.harness.rows.put("beats", "one", b"")
 
     def _copy(self) -> None:
-        self.rig.network.clock.callLater(_COPY_INTERVAL_S, self._copy)
-        if not self.rig.rows.faults.away:
-            self._copies.append(_TimedCopy(self.now_s, self.rig.rows.copy()))
+        self.harness.network.clock.callLater(_COPY_INTERVAL_S, self._copy)
+        if not self.harness.rows.faults.away:
+            self._copies.append(_TimedCopy(self.now_s, self.harness.rows.copy()))
             del self._copies[:-_MAX_COPIES]
 
     def go_back(self, age_s: float, away_s: float = 0.6, written_again_s: float = 0.0) -> None:
@@ -74,7 +74,7 @@
         written_again_s : float
             Time after the rollback when operators and endpoints write lost rows again.
         """
-        rows = self.rig.rows
+        rows = self.harness.rows
         copies = [timed for timed in self._copies if timed.time_s <= self.now_s - age_s]
         copy = (copies or self._copies[:1])[-1].copy
         lost = {key: row for key, row in rows.copy().rows.items() if key.table in REWRITTEN_TABLES}
@@ -83,21 +83,21 @@
         rows.go_back(copy)
         self._copies.clear()
         rows.faults.away = False
-        self.rig.network.clock.callLater(written_again_s, self._write_again, lost)
+        self.harness.network.clock.callLater(written_again_s, self._write_again, lost)
 
     def _write_again(self, lost: dict) -> None:
         for key, row in lost.items():
-            current = self.rig.rows.get(key)
-            if current.version > self.rig.rows.returned_at:
+            current = self.harness.rows.get(key)
+            if current.version > self.harness.rows.returned_at:
                 continue
             if row.gone and current.version and not current.gone:
-                self.rig.rows.remove(key.table, key.key)
+                self.harness.rows.remove(key.table, key.key)
             elif not row.gone and current.value != row.value:
-                self.rig.rows.put(key.table, key.key, row.value)
+                self.harness.rows.put(key.table, key.key, row.value)
 
     def reachable_gateways(self) -> list[int]:
         """Return the indices of the gateways that callers can reach."""
-        return list(range(len(self.rig.gateways)))
+        return list(range(len(self.harness.gateways)))
 
     def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
         """Send requests to the gateways round-robin for some seconds."""
@@ -106,8 +106,8 @@
             reachable = self.reachable_gateways()
             if reachable:
                 gateway = reachable[len(self.callers) % len(reachable)]
-                self.callers.append(self.rig.send(gateway, **fields))
-            self.rig.network.advance(pause_s)
+                self.callers.append(self.harness.send(gateway, **fields))
+            self.harness.network.advance(pause_s)
 
     def statuses(self, since: int = 0) -> list[int]:
         """Return the response statuses of the callers from an index on; 0 without a response."""
--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -13,7 +13,7 @@
 from turnward.gateway import Repeat, Workspace
 from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.restoring import AccountRestorer
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, stream
+from turnward.gateway.tests.harness import ENGINE_POOL, KEY, stream_events
 from turnward.gateway.tests.rollback_simulation import RollbackSimulation
 
 PROMPT_TOKENS = 2_000
@@ -28,7 +28,7 @@
         workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
         super().__init__(
             gateways,
-            behave=stream(4),
+            behave=stream_events(4),
             pools=(ENGINE_POOL,),
             workspaces=(workspace,),
             repeat=Repeat.STREAM,
@@ -39,7 +39,7 @@
 
     def run_traffic(self, seconds: float, pause_s: float = 0.1, **fields) -> None:
         """Send prompts for some seconds."""
-        headers = self.rig.prompt(PROMPT_TOKENS, 20)
+        headers = self.harness.prompt(PROMPT_TOKENS, 20)
         super().run_traffic(seconds, pause_s, method=b"POST", body=b"", headers=headers, **fields)
 
     @property
@@ -49,29 +49,29 @@
 
     def reachable_gateways(self) -> list[int]:
         """See ``RollbackSimulation.reachable_gateways``; the last process of a machine runs."""
-        last = {machine: number for number, machine in enumerate(self.rig.machines)}
+        last = {machine: number for number, machine in enumerate(self.harness.machines)}
         return [number for machine, number in last.items() if machine not in self._down]
 
     def restart(self, index: int, after_s: float) -> None:
         """Kill a gateway's process, and start another on its machine after ``after_s`` seconds."""
-        machine = self.rig.machines[index]
-        if machine in self._down or machine in self.rig.machines[index + 1 :]:
+        machine = self.harness.machines[index]
+        if machine in self._down or machine in self.harness.machines[index + 1 :]:
             return
         machine.kill()
         self._down.append(machine)
-        self.rig.network.clock.callLater(after_s, self._start, machine, index)
+        self.harness.network.clock.callLater(after_s, self._start, machine, index)
 
     def _start(self, machine, index: int) -> None:
         machine.restart()
         self._down.remove(machine)
-        self.rig.run_gateway(machine, self.rig.gateways[index]._settings.node)
+        self.harness.run_gateway(machine, self.harness.gateways[index]._settings.node)
 
 
 @pytest.mark.parametrize("age_s", [1.0, 3.0, 5.0, 8.0])
 @pytest.mark.parametrize("gateways", [2, 7])
 def test_limit_holds_after_a_rollback(gateways, age_s):
     simulation = TokenSimulation(gateways, prepaid=250_000)
-    simulation.rig.network.advance(1.0)
+    simulation.harness.network.advance(1.0)
     simulation.run_traffic(9.0, 1 / 8)
     simulation.go_back(age_s)
     simulation.run_traffic(12.0)
@@ -84,27 +84,29 @@
     simulation = TokenSimulation(
         rng.choice((2, 4, 7)), prepaid=rng.choice((150_000, 250_000, 600_000))
     )
-    simulation.rig.network.advance(rng.uniform(0.2, 2.0))
+    simulation.harness.network.advance(rng.uniform(0.2, 2.0))
     for _ in range(rng.randint(2, 4)):
         simulation.run_traffic(rng.uniform(0.5, 6.0), 1 / rng.uniform(4.0, 25.0))
         fault = rng.random()
         if fault < 0.5:
             if rng.random() < 0.4:
                 simulation.restart(
-                    rng.randrange(len(simulation.rig.machines)), rng.uniform(0.3, 3.0)
+                    rng.randrange(len(simulation.harness.machines)), rng.uniform(0.3, 3.0)
                 )
             simulation.go_back(rng.uniform(0.5, 10.0), rng.choice((0.1, 0.6, 2.5)))
         elif fault < 0.8:
-            simulation.restart(rng.randrange(len(simulation.rig.machines)), rng.uniform(0.3, 3.0))
+            simulation.restart(
+                rng.randrange(len(simulation.harness.machines)), rng.uniform(0.3, 3.0)
+            )
         else:
-            client = rng.choice(simulation.rig.clients)
+            client = rng.choice(simulation.harness.clients)
             client.faults.away = True
             heal = partial(setattr, client.faults, "away", False)
-            simulation.rig.network.clock.callLater(rng.uniform(0.5, 5.0), heal)
+            simulation.harness.network.clock.callLater(rng.uniform(0.5, 5.0), heal)
         if rng.random() < 0.3:
-            simulation.rig.rows.faults.late_share = 0.2
-            simulation.rig.rows.faults.lost_share = 0.2
-    simulation.rig.rows.faults.late_share = simulation.rig.rows.faults.lost_share = 0.0
+            simulation.harness.rows.faults.late_share = 0.2
+            simulation.harness.rows.faults.lost_share = 0.2
+    simulation.harness.rows.faults.late_share = simulation.harness.rows.faults.lost_share = 0.0
     simulation.run_traffic(10.0, 0.05)
     return simulation
 
@@ -118,7 +120,7 @@
 @pytest.mark.parametrize("gateways", [2, 7])
 def test_callers_are_served_during_a_rollback(gateways):
     simulation = TokenSimulation(gateways, prepaid=5_000_000)
-    simulation.rig.network.advance(1.0)
+    simulation.harness.network.advance(1.0)
     simulation.run_traffic(8.0)
     simulation.go_back(6.0)
     simulation.run_traffic(6.0)
@@ -128,12 +130,12 @@
 def simulate_unclaimed_tokens() -> TokenSimulation:
     """Crash a router right after it took tokens that the store then loses."""
     simulation = TokenSimulation(2, prepaid=250_000)
-    simulation.rig.network.advance(1.0)
+    simulation.harness.network.advance(1.0)
     simulation.run_traffic(9.0, 1 / 8)
-    taken = len(simulation.rig.logs[0].of("prepaid.taken"))
-    while len(simulation.rig.logs[0].of("prepaid.taken")) == taken:
+    taken = len(simulation.harness.logs[0].with_event("prepaid.taken"))
+    while len(simulation.harness.logs[0].with_event("prepaid.taken")) == taken:
         simulation.run_traffic(0.05, 0.05)
-    simulation.rig.network.advance(0.05)
+    simulation.harness.network.advance(0.05)
     simulation.restart(0, after_s=60.0)
     simulation.go_back(8.0)
     simulation.run_traffic(12.0)
@@ -144,9 +146,10 @@
     """A router that crashed before the rollback had announced its last row to the others."""
     simulation = simulate_unclaimed_tokens()
     assert simulation.used_tokens <= simulation.prepaid
-    assert [line["unattributed"] > 0 for line in simulation.rig.logs[1].of("prepaid.restored")] == [
-        True
-    ]
+    assert [
+        line["unattributed"] > 0
+        for line in simulation.harness.logs[1].with_event("prepaid.restored")
+    ] == [True]
 
 
 def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
