--- a/turnward/gateway/account_updates.py
+++ b/turnward/gateway/account_updates.py
@@ -148,8 +148,8 @@
 
     def _record(self, workspace: str, taken: TakenTokens) -> None:
         known = self._known.setdefault(workspace, _KnownAccount())
-        of_era = known.by_era.get(taken.version.era)
-        if of_era is not None and taken.version <= of_era.version:
+        previous = known.by_era.get(taken.version.era)
+        if previous is not None and taken.version <= previous.version:
             return
         known.by_era[taken.version.era] = taken
         while len(known.by_era) > _ERAS_LIMIT:
--- a/turnward/gateway/holder_client.py
+++ b/turnward/gateway/holder_client.py
@@ -27,7 +27,7 @@
 class ReturnOutcome(StrEnum):
     """Outcome of returning tokens to a holder."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     NOT_SENT = "not_sent"
     LOST = "lost"
 
@@ -99,5 +99,5 @@
             except Http1Error as error:
                 self._mark_unresponsive(address, workspace, error)
                 return ReturnOutcome.LOST
-            return ReturnOutcome.TAKEN if response is not None else ReturnOutcome.LOST
+            return ReturnOutcome.ACCEPTED if response is not None else ReturnOutcome.LOST
         return ReturnOutcome.NOT_SENT
--- a/turnward/gateway/tests/rollback_simulation.py
+++ b/turnward/gateway/tests/rollback_simulation.py
@@ -33,7 +33,7 @@
     behave : callable
         Behaviour of the endpoints.
     fields
-        Passed to ``Rig``.
+        Passed to ``Harness``.
     """
 
     def __init__(self, gateways: int, endpoints: int = 4, behave=answer_ok, **fields):
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -145,7 +145,7 @@
         if reservation is None:
             return
         self.ledger.settle(reservation, tokens)
-        if await self.holder_client.return_tokens(workspace, tokens) is not ReturnOutcome.TAKEN:
+        if await self.holder_client.return_tokens(workspace, tokens) is not ReturnOutcome.ACCEPTED:
             self.ledger.unsettle(workspace, tokens)
 
 
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -85,7 +85,7 @@
 
 
 def test_tokens_do_not_move_while_members_are_added():
-    harness = large_rig()
+    harness = large_harness()
     holders = [number for number, is_holder in enumerate(holds(harness)) if is_holder]
     held = [harness.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
     assert min(held) > 0
@@ -102,7 +102,7 @@
 # Tests with whole gateways.
 
 
-def large_rig(gateways=12, prepaid=400_000):
+def large_harness(gateways=12, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
     fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
@@ -116,12 +116,12 @@
     return [gateway.holders.holds("acme") for gateway in harness.gateways]
 
 
-def ask(harness, gateway, tokens=8_000):
+def send_prompt(harness, gateway, tokens=8_000):
     return harness.ask(gateway, method=b"POST", body=b"", headers=harness.prompt(tokens, 20))
 
 
 def test_only_holders_have_grants_and_write_reports():
-    harness = large_rig()
+    harness = large_harness()
     assert sum(holds(harness)) == HOLDERS_PER_WORKSPACE
     incarnations = {
         gateway.incarnation
@@ -138,9 +138,9 @@
 
 
 def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
-    harness = large_rig()
+    harness = large_harness()
     borrower = holds(harness).index(False)
-    assert [ask(harness, borrower).status for _ in range(5)] == [200] * 5
+    assert [send_prompt(harness, borrower).status for _ in range(5)] == [200] * 5
     harness.network.advance(2.0)
     accounts = harness.gateways[borrower].accounts
     assert accounts.ledger.free_tokens("acme") == 0
@@ -160,7 +160,7 @@
 
 
 def test_concurrent_requests_do_not_use_the_same_tokens():
-    harness = large_rig()
+    harness = large_harness()
     borrower = holds(harness).index(False)
     first = harness.ask(borrower, method=b"POST", body=b"", headers=harness.prompt(1_000, 400))
     assert first.status == 200
@@ -175,10 +175,10 @@
 
 
 def test_holders_are_asked_round_robin():
-    harness = large_rig()
+    harness = large_harness()
     borrower = holds(harness).index(False)
     for _ in range(10):
-        ask(harness, borrower, tokens=500)
+        send_prompt(harness, borrower, tokens=500)
     lent = [
         len(log.with_event("prepaid.lent"))
         for log, is_holder in zip(harness.logs, holds(harness), strict=True)
@@ -188,19 +188,19 @@
 
 
 def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
-    harness = large_rig()
+    harness = large_harness()
     borrower = holds(harness).index(False)
     for number, is_holder in enumerate(holds(harness)):
         if is_holder:
             harness.machines[number].kill()
-    assert ask(harness, borrower).status == 200
+    assert send_prompt(harness, borrower).status == 200
     assert decode_account(harness.rows.get(ROW_KEY)).granted_tokens[
         harness.gateways[borrower].incarnation
     ]
 
 
 def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
-    harness = large_rig()
+    harness = large_harness()
     non_holders = [
         number
         for number, gateway in enumerate(harness.gateways)
@@ -212,30 +212,30 @@
     for client in harness.clients:
         client.faults.away = True
     harness.network.advance(1.0)
-    assert ask(harness, non_holders[0]).status == 503
+    assert send_prompt(harness, non_holders[0]).status == 503
     for client in harness.clients:
         client.faults.away = False
     harness.network.advance(6.0)
-    assert ask(harness, non_holders[0]).status == 200
+    assert send_prompt(harness, non_holders[0]).status == 200
 
 
 def test_routers_cut_off_from_the_store_borrow_from_holders():
-    harness = large_rig()
+    harness = large_harness()
     for client in harness.clients:
         client.faults.away = True
     harness.network.advance(6.0)
     # Few enough tokens for the spend bounds in the holders' last reports.
-    served = [ask(harness, number, tokens=1_500).status for number in range(12)]
+    served = [send_prompt(harness, number, tokens=1_500).status for number in range(12)]
     assert served == [200] * 12
 
 
 def test_exhausted_workspace_is_refused_at_every_router():
-    harness = large_rig(prepaid=1_000)
-    assert {ask(harness, number).status for number in range(12)} == {402}
+    harness = large_harness(prepaid=1_000)
+    assert {send_prompt(harness, number).status for number in range(12)} == {402}
 
 
 def test_request_cancelled_while_borrowing_costs_no_tokens():
-    harness = large_rig()
+    harness = large_harness()
     borrower = holds(harness).index(False)
     caller = harness.send(borrower, method=b"POST", body=b"", headers=harness.prompt(8_000, 20))
     caller.transport.abortConnection()
@@ -245,7 +245,7 @@
 
 
 def test_cancelled_loan_is_not_counted():
-    harness = large_rig()
+    harness = large_harness()
     holder = holds(harness).index(True)
     accounts = harness.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
@@ -259,7 +259,7 @@
 
 @pytest.mark.parametrize("tokens", [0, -5])
 def test_return_of_a_non_positive_amount_is_rejected(tokens):
-    harness = large_rig()
+    harness = large_harness()
     before = harness.gateways[0].accounts.ledger.free_tokens("acme")
     body = msgspec.msgpack.encode(["acme", tokens])
     caller = harness.connect(port=PEERS_PORT)
@@ -271,7 +271,7 @@
 
 
 def test_returned_tokens_are_counted_once():
-    harness = large_rig()
+    harness = large_harness()
     accounts = harness.gateways[holds(harness).index(True)].accounts
     before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
     accounts.accept_return(LoanReturn("acme", 500))
@@ -280,7 +280,7 @@
 
 
 def test_successor_of_a_holder_returns_grants_it_does_not_need():
-    harness = large_rig()
+    harness = large_harness()
     number = holds(harness).index(True)
     gateway = harness.gateways[number]
     assert gateway.accounts.ledger.free_tokens("acme") > 0
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -16,7 +16,7 @@
 )
 
 
-def loan_rig(gateways=2, prepaid=400_000):
+def loan_harness(gateways=2, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
     fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
@@ -37,7 +37,7 @@
 
 
 def test_gateway_cut_off_from_the_store_borrows_from_its_peer():
-    harness = loan_rig()
+    harness = loan_harness()
     assert count_served(harness, 0, 4) == 4
     for client in harness.clients:
         client.faults.away = True
@@ -52,7 +52,7 @@
 
 
 def test_gateway_without_lenders_rejects_at_once():
-    harness = loan_rig(gateways=1)
+    harness = loan_harness(gateways=1)
     for client in harness.clients:
         client.faults.away = True
     harness.network.advance(2.0)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"nonsense", msgspec.msgpack.encode([1, 2, 3])])
 def test_malformed_loan_request_is_rejected_and_lends_nothing(body):
-    harness = loan_rig()
+    harness = loan_harness()
     before = harness.gateways[0].accounts.ledger.committed_tokens("acme")
     caller = harness.connect(port=PEERS_PORT)
     head = b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (LOANS_PATH, len(body))
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("most", [-5, 0, 10**12])
 def test_loan_never_exceeds_the_lendable_tokens(most):
-    harness = loan_rig()
+    harness = loan_harness()
     accounts = harness.gateways[0].accounts
     free = accounts.ledger.free_tokens("acme")
     assert free > 0
@@ -86,7 +86,7 @@
 
 
 def test_surplus_is_announced_only_while_a_router_is_short():
-    harness = loan_rig()
+    harness = loan_harness()
     assert [gateway.peers.digest().spare for gateway in harness.gateways] == [(), ()]
     harness.clients[0].faults.away = True
     harness.network.advance(3.0)
--- a/turnward/ledger/demand.py
+++ b/turnward/ledger/demand.py
@@ -30,33 +30,39 @@
     (95, 25)
     """
 
-    __slots__ = ("_first_s", "_level_tokens", "_time_constant_s", "_updated_s", "_bias_corrected")
+    __slots__ = (
+        "_bias_corrected",
+        "_decayed_tokens",
+        "_first_demand_s",
+        "_time_constant_s",
+        "_updated_s",
+    )
 
     def __init__(self, time_constant_s: float = 10.0, bias_corrected: bool = False):
         self._time_constant_s = time_constant_s
         self._bias_corrected = bias_corrected
-        self._first_s: float | None = None
-        self._level_tokens = 0.0
+        self._first_demand_s: float | None = None
+        self._decayed_tokens = 0.0
         self._updated_s = 0.0
 
     def add(self, tokens: int, now_s: float) -> None:
         """Add a demand of ``tokens``."""
         self._decay(now_s)
-        if self._first_s is None:
-            self._first_s = now_s
-        self._level_tokens += tokens
+        if self._first_demand_s is None:
+            self._first_demand_s = now_s
+        self._decayed_tokens += tokens
 
     def rate_tokens_per_s(self, now_s: float) -> float:
         """Return the estimated rate at ``now_s``."""
         self._decay(now_s)
-        if not self._bias_corrected or self._first_s is None:
-            return self._level_tokens / self._time_constant_s
-        age_s = max(_MIN_AGE_S, now_s - self._first_s)
-        return self._level_tokens / (
+        if not self._bias_corrected or self._first_demand_s is None:
+            return self._decayed_tokens / self._time_constant_s
+        age_s = max(_MIN_AGE_S, now_s - self._first_demand_s)
+        return self._decayed_tokens / (
             self._time_constant_s * -math.expm1(-age_s / self._time_constant_s)
         )
 
     def _decay(self, now_s: float) -> None:
         elapsed_s = max(0.0, now_s - self._updated_s)
-        self._level_tokens *= math.exp(-elapsed_s / self._time_constant_s)
+        self._decayed_tokens *= math.exp(-elapsed_s / self._time_constant_s)
         self._updated_s = now_s
--- a/turnward/ledger/ledger.py
+++ b/turnward/ledger/ledger.py
@@ -74,7 +74,7 @@
         one router claims beyond what waiting requests need.
     floor_share : float
         Share of the available tokens that is held even without demand, so
-        that a router cut off from the table can still serve requests.
+        that a router cut off from the store can still serve requests.
     bias_corrected : bool
         See ``DemandMeter``.
     idle_return_s : float
@@ -233,7 +233,7 @@
         self._account(budget).settled_tokens -= tokens
 
     def add(self, budget: str, tokens: int) -> None:
-        """Add tokens that were granted to this router."""
+        """Add tokens that were granted or lent to this router."""
         self._account(budget).granted_tokens += tokens
 
     def withdraw(self, budget: str, tokens: int) -> int:
