--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -223,22 +223,22 @@
 
 def test_request_waits_for_the_store_when_no_holder_answers():
     simulation = HolderSimulation()
-    simulation.calm(1.0)
+    simulation.answer_all_calls(1.0)
     answers = []
     simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
     while simulation.calls[1].pending:
         simulation.calls[1].decide("refused")
     assert answers == []
-    simulation.calm(0.5)
+    simulation.answer_all_calls(0.5)
     assert isinstance(answers[0], Reservation)
 
 
 def test_holder_reports_an_exhausted_budget():
     simulation = HolderSimulation()
-    simulation.calm(1.0)
+    simulation.answer_all_calls(1.0)
     answers = []
     simulation.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
     while simulation.calls[1].pending:
         simulation.calls[1].decide("done")
-    simulation.calm(0.5)
+    simulation.answer_all_calls(0.5)
     assert answers == [BudgetRefusal.EXHAUSTED]
--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -114,15 +114,15 @@
         for router in filter(None, self.routers):
             # Routers announce everything to a new router before the next crash: if all that know a
             # row crash at once, what the store lost of it can't be restored.
-            router.news.announce_all()
+            router.updates.announce_all()
         self.exchange_updates()
 
     def exchange_updates(self):
         """Exchange one round of messages."""
         first, second = self.routers
         if first is not None and second is not None:
-            first.news.take_in(second.news.told())
-            second.news.take_in(first.news.told())
+            first.updates.take_in(second.updates.told())
+            second.updates.take_in(first.updates.told())
 
     def step(self, action):
         if action[0] == "copy":
