--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -29,7 +29,7 @@
 
 
 class OneHolder(EveryRouterHolds):
-    """Holders as seen by a router of which the other router holds the tokens."""
+    """Holders from the view of a router whose peer holds all tokens."""
 
     def holds(self, workspace):
         return False
@@ -47,22 +47,22 @@
         self.pending = []
 
     async def call(self, address, path, body, timeout_s):
-        decided = defer.Deferred()
-        self.pending.append((path, body, decided))
-        return await decided
+        result = defer.Deferred()
+        self.pending.append((path, body, result))
+        return await result
 
     def decide(self, outcome):
         """Complete the oldest call: ``done``, ``lost`` (done, but no response) or ``refused``."""
         if not self.pending:
             return
-        path, body, decided = self.pending.pop(0)
+        path, body, result = self.pending.pop(0)
         if outcome == "refused":
-            decided.errback(NotSentError("refused"))
+            result.errback(NotSentError("refused"))
             return
-        response = decided if outcome == "done" else defer.Deferred()
+        response = result if outcome == "done" else defer.Deferred()
         self.deliver(path, body, response)
         if outcome == "lost":
-            decided.errback(UnansweredError("lost"))
+            result.errback(UnansweredError("lost"))
 
     def deliver(self, path, body, response):
         holder = self.simulation.routers[1 - self.index]
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -75,14 +75,14 @@
     assert harness.gateways[0].accounts.ledger.committed_tokens("acme") == before
 
 
-@pytest.mark.parametrize("most", [-5, 0, 10**12])
-def test_loan_never_exceeds_the_lendable_tokens(most):
+@pytest.mark.parametrize("desired_tokens", [-5, 0, 10**12])
+def test_loan_never_exceeds_the_lendable_tokens(desired_tokens):
     harness = loan_harness()
     accounts = harness.gateways[0].accounts
     free = accounts.ledger.free_tokens("acme")
     assert free > 0
-    assert 0 <= accounts.lend(LoanAsk("acme", 1, most)) <= free
-    assert accounts.lend(LoanAsk("nobody", 1, most)) == 0
+    assert 0 <= accounts.lend(LoanAsk("acme", 1, desired_tokens)) <= free
+    assert accounts.lend(LoanAsk("nobody", 1, desired_tokens)) == 0
 
 
 def test_surplus_is_announced_only_while_a_router_is_short():
--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -58,36 +58,36 @@
         """See ``SteppedStore.decide``."""
         if not self.pending:
             return False
-        kind, payload, decided = self.pending.pop(0)
+        kind, payload, result = self.pending.pop(0)
         if outcome == "refused":
-            decided.errback(RowsUnavailableError("refused"))
+            result.errback(RowsUnavailableError("refused"))
         elif kind == "read":
             self._note_response()
             if isinstance(payload, RowKey):
-                decided.callback(self._with_era(self.rows.get(payload)))
+                result.callback(self._with_era(self.rows.get(payload)))
             else:
                 rows = tuple(map(self._with_era, self.rows.table(*payload)))
-                decided.callback(TableChanges(rows, self._eras.version(self.rows.version)))
+                result.callback(TableChanges(rows, self._eras.version(self.rows.version)))
         elif outcome == "late":
             self.late.append(payload)
-            decided.errback(RowOutcomeUnknownError("lost"))
+            result.errback(RowOutcomeUnknownError("lost"))
         else:
-            self._apply(payload, decided, outcome)
+            self._apply(payload, result, outcome)
         return True
 
-    def _apply(self, transaction, decided, outcome):
+    def _apply(self, transaction, result, outcome):
         try:
             number = self.rows.apply(transaction)
         except VersionConflictError as conflict:
             self._note_response()
             rows = tuple(map(self._with_era, conflict.rows))
-            decided.errback(VersionConflictError(str(conflict), rows))
+            result.errback(VersionConflictError(str(conflict), rows))
             return
         if outcome == "lost":
-            decided.errback(RowOutcomeUnknownError("lost"))
+            result.errback(RowOutcomeUnknownError("lost"))
             return
         self._note_response()
-        decided.callback(number)
+        result.callback(number)
 
     def _note_response(self):
         self.answered_s = self.rows.clock.seconds()
