--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -39,7 +39,7 @@
 from turnward.gateway.holders import EveryRouterHolds, HoldersBase
 from turnward.gateway.loans import LenderBase, Loan, LoanAsk, LoanOffer, LoanReturn, LoanRule
 from turnward.gateway.restoring import AccountRestorer
-from turnward.gateway.spending import PromiseRule, SpendBound, SpendReports, spend_bound_for
+from turnward.gateway.spending import SpendBound, SpendBoundRule, SpendReports, spend_bound_for
 from turnward.gateway.workspace_account import WaitingRequest, WorkspaceAccount
 from turnward.ledger import BudgetView, GrantLedger, GrantRequest, Reservation, SizingRule
 from turnward.rows import (
@@ -103,7 +103,7 @@
         Told of each change of a grant.
     live_routers : callable
         How many routers may live; how often one of them may call the store follows from it.
-    bound_rule : PromiseRule, optional
+    bound_rule : SpendBoundRule, optional
         How tight the promises of reports are.
     loan_rule : LoanRule, optional
         How much is lent and borrowed.
@@ -136,7 +136,7 @@
         rule: SizingRule,
         log,
         live_routers: Callable[[], int],
-        bound_rule: PromiseRule | None = None,
+        bound_rule: SpendBoundRule | None = None,
         loan_rule: LoanRule | None = None,
         end_reserve_rule: EndReserveRule | None = None,
         withheld_share_per_priority: float = WITHHELD_SHARE_PER_PRIORITY,
@@ -153,7 +153,7 @@
         self._holders = holders or EveryRouterHolds(live_routers)
         self.holder_client: HolderClient | None = None
         self._rule = rule
-        self._promise_rule = bound_rule or PromiseRule()
+        self._promise_rule = bound_rule or SpendBoundRule()
         self._loan_rule = loan_rule or LoanRule()
         self._end_rule = end_reserve_rule or EndReserveRule()
         self._kept_by_priority = withheld_share_per_priority
@@ -582,7 +582,7 @@
             self._bound_rule_for(workspace, account),
         )
 
-    def _bound_rule_for(self, workspace: str, account: WorkspaceAccount | None) -> PromiseRule:
+    def _bound_rule_for(self, workspace: str, account: WorkspaceAccount | None) -> SpendBoundRule:
         """Return a tighter rule where little is left of a workspace's limit.
 
         What the others hold is guessed to be what is held here, for each.
--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -29,7 +29,7 @@
     VersionedTransaction,
 )
 
-__all__ = ["PromiseRule", "SpendBound", "SpendReport", "SpendReports", "spend_bound_for"]
+__all__ = ["SpendBoundRule", "SpendBound", "SpendReport", "SpendReports", "spend_bound_for"]
 
 TABLE = "spending"
 #: Seconds between two reports while tokens are held, at least and at most.
@@ -41,7 +41,7 @@
 _LEAST_PERIOD_S = 0.05
 
 
-class PromiseRule(msgspec.Struct, frozen=True):
+class SpendBoundRule(msgspec.Struct, frozen=True):
     """How tight a router's promises are.
 
     The burst lets single large requests through; the pace only has to keep up
@@ -82,21 +82,21 @@
     scarce_share: float = 0.3
     scarce_factor: float = 0.4
 
-    def for_limit(self, limit_tokens: int, routers: int) -> "PromiseRule":
+    def for_limit(self, limit_tokens: int, routers: int) -> "SpendBoundRule":
         """Return the rule for a workspace with a limit that some routers share.
 
         Examples
         --------
-        >>> PromiseRule().for_limit(600_000, 2).burst_tokens
+        >>> SpendBoundRule().for_limit(600_000, 2).burst_tokens
         24000
-        >>> PromiseRule().for_limit(600_000, 30).burst_tokens
+        >>> SpendBoundRule().for_limit(600_000, 30).burst_tokens
         4000
         """
         shared = int(self.burst_share * limit_tokens / max(1, routers))
         burst = max(self.burst_tokens, min(self.max_burst_tokens, shared))
         return msgspec.structs.replace(self, burst_tokens=burst)
 
-    def tightened(self) -> "PromiseRule":
+    def tightened(self) -> "SpendBoundRule":
         """Return the rule for a workspace that has little left."""
         return msgspec.structs.replace(
             self,
@@ -154,7 +154,7 @@
 
     number: int
     stamp_s: float
-    promises: dict[str, SpendBound] = msgspec.field(name="promises")
+    promises: dict[str, SpendBound]
     era: int | None = None
 
 
@@ -163,13 +163,13 @@
     free_tokens: int,
     waiting_tokens: int,
     demand_tokens_per_s: float,
-    rule: PromiseRule,
+    rule: SpendBoundRule,
 ) -> SpendBound:
     """Return the promise of a router that has spent, holds and is asked for some tokens.
 
     Examples
     --------
-    >>> promise = spend_bound_for(100, 60_000, 0, 5_000.0, PromiseRule())
+    >>> promise = spend_bound_for(100, 60_000, 0, 5_000.0, SpendBoundRule())
     >>> promise.burst_tokens, promise.rate_tokens_per_s, promise.relaxed_rate_tokens_per_s
     (5000, 5000.0, 7500.0)
     """
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -22,7 +22,7 @@
 from turnward.gateway.configuration import Repeat, Workspace
 from turnward.gateway.loans import LenderBase, LoanOffer, LoanRule
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
-from turnward.gateway.spending import PromiseRule, SpendReports
+from turnward.gateway.spending import SpendBoundRule, SpendReports
 from turnward.gateway.tests.rig import KEY, ListLog, Rig, stream
 from turnward.gateway.tests.test_forwarding import ENGINE_POOL, reason
 from turnward.ledger import Reservation, SizingRule
@@ -47,7 +47,7 @@
 )
 LOANS = LoanRule(min_offer_tokens=1)
 LIMIT = 60
-PROMISES = PromiseRule(
+PROMISES = SpendBoundRule(
     burst_s=0.2, burst_tokens=2, rate_factor=0.5, relax_after_s=2.0, spend_all_s=10.0
 )
 #: Seconds after which promises let all that is held be spent.
