--- a/turnward/gateway/accounts.py
+++ b/turnward/gateway/accounts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The row of a workspace's prepaid tokens, and its changes: pure functions."""
+"""Account row of a workspace's prepaid tokens, and pure functions that change it."""
 
 import msgspec
 
@@ -22,33 +22,35 @@
 ]
 
 
-#: Where the rows lie; their part is the workspace.
+#: Table of the account rows; the workspace is the part of a row's key.
 TABLE = "prepaid"
 ROW_NAME = "account"
 
 
 class AccountRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The row of one workspace.
+    """Account row of one workspace.
 
     Attributes
     ----------
     limit_tokens : int
-        As of ``limit_version`` of the configuration.
+        The workspace's limit in version ``limit_version`` of the configuration.
+    limit_version : int
+        Version of the configuration that ``limit_tokens`` was read from.
     ended_tokens : int
-        Spent by incarnations whose grants were folded.
+        Spent by terminated incarnations whose grants were folded.
     granted_tokens : dict
-        By incarnation: all it was granted less what it gave back.
+        By incarnation, the tokens granted to it less those it returned.
     era : int or None
-        Of the store, in which the row was written; None where the store names none, or by a build
-        that knows none.
+        Era of the store in which the row was written; None if the store reports no era, or if
+        the writer was a version without support for eras.
     prior_era, prior_number : int
-        Version of the row that this one was written in place of.
+        Version of the row that this one replaced.
     base_era, base_number, base_tokens : int
-        Version of the row of an earlier era that this one goes on from, and what was taken as of
-        then.
+        Version of the row of an earlier era that this one is based on, and the tokens taken
+        according to it.
     unattributed_tokens : int
-        What is taken besides, by routers that have not said so since the store came back; below 0
-        where the row says more of them than that.
+        Tokens known to be taken whose holders have not recorded them in the row since the store
+        was restored from an older copy; negative if the row already records more than that.
     """
 
     limit_tokens: int = 0
@@ -65,29 +67,29 @@
 
     @property
     def prior(self) -> RowVersion:
-        """Version of the row that this one was written in place of."""
+        """Version of the row that this one replaced."""
         return RowVersion.of(self.prior_era, self.prior_number)
 
     @property
     def base(self) -> RowVersion:
-        """Version of the row of an earlier era that this one goes on from."""
+        """Version of the row of an earlier era that this one is based on."""
         return RowVersion.of(self.base_era, self.base_number)
 
 
 def decode_account(row: StoredRow) -> AccountRow:
-    """Return a row's account; a missing row is an empty account."""
+    """Decode a stored row; a missing row is an empty account."""
     if row.version == 0 or row.gone or not row.value:
         return AccountRow()
     return msgspec.json.decode(row.value, type=AccountRow)
 
 
 def encode_account(account: AccountRow) -> bytes:
-    """Return the bytes of an account's row."""
+    """Encode an account as the value of its row."""
     return msgspec.json.encode(account)
 
 
 def with_limit(account: AccountRow, limit_tokens: int, limit_version: int) -> AccountRow:
-    """Return the account under a limit, unless a newer one is known to it.
+    """Return the account with a new limit, unless it already has a newer one.
 
     Examples
     --------
@@ -100,7 +102,7 @@
 
 
 def taken_tokens(account: AccountRow) -> int:
-    """Return what routers hold or have spent.
+    """Return the tokens that routers hold or have spent.
 
     Examples
     --------
@@ -112,7 +114,7 @@
 
 
 def ungranted_tokens(account: AccountRow) -> int:
-    """Return what no router holds; below 0 after the limit was lowered.
+    """Return the tokens not granted to any router; may be negative after the limit was lowered.
 
     Examples
     --------
@@ -123,7 +125,7 @@
 
 
 def change_grant(account: AccountRow, incarnation: str, delta_tokens: int) -> AccountRow:
-    """Return the account with an incarnation's grant changed; a grant of 0 is left out."""
+    """Return the account with an incarnation's grant changed; a grant of 0 is removed."""
     granted = dict(account.granted_tokens)
     granted[incarnation] = granted.get(incarnation, 0) + delta_tokens
     if not granted[incarnation]:
@@ -136,26 +138,30 @@
 ) -> AccountRow:
     """Return the account with the grants of a node's earlier incarnations folded.
 
-    What they held counts as spent, up to the most that they can have spent
-    where that is known: ``bounds`` has it by incarnation.
+    Their grants are replaced by the tokens that they may have spent: the upper bound in
+    ``bounds`` (by incarnation), or the whole grant where no bound is known.
     """
     prefix = f"{node}@"
-    ended = {
+    predecessors = {
         name: tokens
         for name, tokens in account.granted_tokens.items()
         if name.startswith(prefix) and name != incarnation
     }
-    if not ended:
+    if not predecessors:
         return account
-    granted = {name: tokens for name, tokens in account.granted_tokens.items() if name not in ended}
-    spent = sum(min(tokens, max(0, bounds.get(name, tokens))) for name, tokens in ended.items())
+    granted = {
+        name: tokens for name, tokens in account.granted_tokens.items() if name not in predecessors
+    }
+    spent = sum(
+        min(tokens, max(0, bounds.get(name, tokens))) for name, tokens in predecessors.items()
+    )
     return msgspec.structs.replace(
         account, ended_tokens=account.ended_tokens + spent, granted_tokens=granted
     )
 
 
 def with_prior_version(account: AccountRow, version: int, era: int | None) -> AccountRow:
-    """Return a row as it is written in an era, in place of the row with a version."""
+    """Return the account as written in an era, replacing the row of a given version."""
     version = RowVersion(version)
     return msgspec.structs.replace(
         account, era=era, prior_era=version.era, prior_number=version.number
@@ -169,19 +175,26 @@
     held_tokens: int,
     known: TakenTokens | None,
 ) -> AccountRow:
-    """Return a row as it has to be in an era: with what is held, and all that is known as taken.
+    """Return the account corrected after the store was restored from an older copy.
 
-    Whatever order routers do this in, what is taken is as much as the latest row that one of them
-    knows of said, and nothing is counted both for its holder and as unattributed.
+    The corrected account records the tokens that this incarnation holds, and counts all other
+    tokens known to be taken as unattributed until their holders record them. The total does not
+    depend on the order in which routers do this: it is at least the total of the latest row that
+    any of them knows, and no token is counted both for its holder and as unattributed.
 
     Parameters
     ----------
     account : AccountRow
-        The row as it stands.
+        The account as stored.
+    era : int
+        The store's present era.
+    incarnation : str
+        This router incarnation.
     held_tokens : int
-        What this incarnation holds.
+        Tokens that this incarnation holds.
     known : TakenTokens or None
-        What the latest row known said: of earlier eras, where the row is of this one already.
+        Tokens taken according to the latest row known; if ``account`` was already corrected in
+        this era, according to the latest row known of earlier eras.
 
     Examples
     --------
@@ -196,8 +209,8 @@
     """
     unattributed = account.unattributed_tokens
     if account.era != era:
-        # Nobody has acted on the return so far. Of the row's own version only the number is known:
-        # a late write may have put it there since. What is known of the row itself changes nothing.
+        # First correction in this era. The base is the row that this one replaced, as a delayed
+        # write may have stored this one after the restore: of its version only the number is sure.
         base = account.prior
         unattributed = max(0, unattributed)
         tokens = taken_tokens(account)
