--- a/turnward/gateway/end_reserve.py
+++ b/turnward/gateway/end_reserve.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The last part of a workspace's limit, handed out slowly.
+"""Reserve at the end of a workspace's limit, released gradually.
 
-Without it a workspace that has used up its tokens is without service until its
-limit is raised. With it a request that fits is served now and then.
+Without it, a workspace that has used up its tokens gets no service until its limit is raised.
+With it, a request that fits is served from time to time.
 """
 
 import zlib
@@ -15,15 +15,14 @@
 
 
 class EndReserveRule(msgspec.Struct, frozen=True):
-    """How much is kept for the end, and for how long it lasts.
+    """Size of the end reserve and the time over which it is released.
 
     Attributes
     ----------
     share : float
-        Part of the limit; 0 keeps nothing.
+        Fraction of the limit that is reserved; 0 disables the reserve.
     release_s : float
-        Seconds over which the reserve is handed out once nothing else is left. Measured in
-        decision 16: slower, and too few are served after a loss of power.
+        Seconds over which the reserve is released once all other tokens are used up.
     """
 
     share: float = 0.0
@@ -31,53 +30,62 @@
 
 
 class EndReserve:
-    """One workspace's reserve at one router.
+    """One workspace's end reserve at one router.
 
-    All routers see what is left in the workspace's row, so together they keep to the pace.
+    All routers read the remaining tokens from the workspace's row, so together they keep to the
+    release rate.
 
     Parameters
     ----------
     rule : EndReserveRule
-        How much is kept.
+        Size of the reserve and its release time.
     name : str
-        Spreads the first request that is served over routers and workspaces.
+        Determines the part of a request that is released at once, so that the first requests of
+        different routers and workspaces are staggered.
     """
 
-    __slots__ = ("_asked_s", "_begun_s", "_begun_tokens", "_head_start", "_rule")
+    __slots__ = (
+        "_initial_share",
+        "_last_request_s",
+        "_release_from_s",
+        "_release_tokens",
+        "_rule",
+    )
 
     def __init__(self, rule: EndReserveRule, name: str):
         self._rule = rule
-        self._head_start = (zlib.crc32(name.encode()) % 100) / 100
-        self._asked_s = 0.0
-        self._begun_s = 0.0
-        self._begun_tokens = -1
+        self._initial_share = (zlib.crc32(name.encode()) % 100) / 100
+        self._last_request_s = 0.0
+        self._release_from_s = 0.0
+        self._release_tokens = -1
 
-    def tokens(self, row: AccountRow) -> int:
-        """Return what is kept of a limit.
+    def reserved_tokens(self, row: AccountRow) -> int:
+        """Return the size of the reserve under the row's limit.
 
         Examples
         --------
-        >>> EndReserve(EndReserveRule(share=0.03), "x").tokens(AccountRow(limit_tokens=1_000))
+        >>> reserve = EndReserve(EndReserveRule(share=0.03), "x")
+        >>> reserve.reserved_tokens(AccountRow(limit_tokens=1_000))
         30
         """
         return int(self._rule.share * row.limit_tokens)
 
     def available_tokens(self, row: AccountRow) -> int:
-        """Return what any request may have of what is ungranted; below 0 if it was recalled."""
-        left = ungranted_tokens(row)
-        return left if left < 0 else max(0, left - self.tokens(row))
+        """Return the ungranted tokens outside the reserve; negative after the limit was lowered."""
+        remaining = ungranted_tokens(row)
+        return remaining if remaining < 0 else max(0, remaining - self.reserved_tokens(row))
 
     def admit_request(self, row: AccountRow, tokens: int, now_s: float) -> bool:
-        """Tell whether a request that nothing else is left for gets a part of the reserve."""
-        left = min(self.tokens(row), ungranted_tokens(row))
-        if left < tokens:
+        """Tell whether a request may be served from the reserve, other tokens being used up."""
+        remaining = min(self.reserved_tokens(row), ungranted_tokens(row))
+        if remaining < tokens:
             return False
-        # Nobody needed it for so long: the limit was raised meanwhile, and is used up again.
-        enough_meanwhile = now_s - self._asked_s > self._rule.release_s
-        self._asked_s = now_s
-        if left > self._begun_tokens or enough_meanwhile:
-            self._begun_s = now_s
-            self._begun_tokens = left
-        passed = (now_s - self._begun_s) / self._rule.release_s
-        released = self._begun_tokens * passed + self._head_start * tokens
-        return self._begun_tokens - left + tokens <= released
+        # No request needed the reserve for so long that the limit must have been raised meanwhile.
+        idle = now_s - self._last_request_s > self._rule.release_s
+        self._last_request_s = now_s
+        if remaining > self._release_tokens or idle:
+            self._release_from_s = now_s
+            self._release_tokens = remaining
+        elapsed = (now_s - self._release_from_s) / self._rule.release_s
+        released = self._release_tokens * elapsed + self._initial_share * tokens
+        return self._release_tokens - remaining + tokens <= released
