--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -1,16 +1,15 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Reports of what a router has spent, so that a successor knows what it had left.
-
-A router writes now and then what it has spent of each workspace, and promises
-how it goes on without another report: a burst at once, and so much a second.
-A router that is cut off from the store so spends what it holds bit by bit.
-When the process has died, the next one on the same node reads the last report:
-what the dead one spent is bounded by the promise, and the rest of its grant
-goes back to all.
-
-Time is the store's steady clock. The writer stamps a report with a time that
-is not later than the store's own, and the reader takes a time that is not
-earlier than its own start, and so than the death, so the bound errs on the safe side only.
+"""Reports that bound a router's spending, so that a successor can return its unspent tokens.
+
+A router periodically writes how much it has spent of each workspace, together with a bound on its
+further spending until the next report: a burst and a rate. A router that is disconnected from the
+store therefore spends the tokens it holds only gradually. After a crash, the next process on the
+same node reads the last report: the spending of its predecessor is at most the bound, and the rest
+of the predecessor's grant is returned to the workspace.
+
+Times are readings of the store's monotonic clock. The writer's timestamp is never later than the
+store's clock, and the reader's time is never earlier than its own start, and hence than the
+crash. An error of either therefore only raises the bound.
 """
 
 from collections.abc import Callable
@@ -32,44 +31,43 @@
 __all__ = ["SpendBoundRule", "SpendBound", "SpendReport", "SpendReports", "spend_bound_for"]
 
 TABLE = "spending"
-#: Seconds between two reports while tokens are held, at least and at most.
-_PERIOD_S = 0.25
-_PERIOD_LIMIT_S = 0.8
-#: Reports a second that all routers together write, as long as the period stays in its bounds.
+#: Limits of the interval between regular reports while tokens are held.
+_MIN_INTERVAL_S = 0.25
+_MAX_INTERVAL_S = 0.8
+#: Target rate of the regular reports of all routers together.
 _FLEET_REPORTS_PER_S = 100.0
-#: Least seconds between two reports that requests wait for.
-_LEAST_PERIOD_S = 0.05
+#: Shortest interval between any two reports, including those that requests wait for.
+_MIN_URGENT_INTERVAL_S = 0.05
 
 
 class SpendBoundRule(msgspec.Struct, frozen=True):
-    """How tight a router's promises are.
+    """How tight a router's spend bounds are.
 
-    The burst lets single large requests through; the pace only has to keep up
-    with the demand. A tight promise loses little when the process dies; a loose one needs fewer
-    reports, and lets a router that is cut off serve more. A process that dies
-    is mostly started again within seconds, while a cut may last long, so
-    promises are tight at first and loose later.
+    The burst admits single large requests; the rate only has to keep up with the demand. With a
+    tight bound few tokens are lost when the process crashes; a loose one needs fewer reports and
+    lets a disconnected router serve more. A crashed process is usually restarted within seconds,
+    while a disconnection may last long, so bounds are tight at first and relaxed later.
 
     Attributes
     ----------
     burst_s, burst_tokens : float, int
-        What may be spent at once after a report: so many seconds of demand,
-        and at least so many tokens.
+        May be spent at once after a report: this many seconds of demand, and at least this
+        many tokens.
     burst_share, max_burst_tokens : float, int
-        The bursts of all routers together are this part of a workspace's
-        limit, if that is more for each, up to so many tokens for one router:
-        a single request may be much larger than what is asked for in a second.
-    pace : float
-        How much faster than the demand may be spent from then on.
+        Fraction of a workspace's limit that the routers share as bursts, if that exceeds
+        ``burst_tokens`` for each, up to ``max_burst_tokens`` for one router. A single request
+        may be much larger than the demand of a second.
+    rate_factor : float
+        Ratio of the rate after the burst to the demand.
     relax_after_s : float
-        Seconds after a report from which more is promised.
+        Seconds after a report from which the bound grows faster.
     spend_all_s : float
-        Seconds from then on in which all that is held may be spent.
+        Seconds from then on in which all tokens held may be spent.
     scarce_share : float
-        Part of a limit that is taken for little: tokens lost with a process
-        are missed then, which they are not while more is left than is used.
+        Fraction of a limit below which the remaining tokens are scarce. Tokens lost in a crash
+        are needed only then.
     scarce_factor : float
-        What a promise's early part is scaled by then.
+        Scales the burst and the rate while tokens are scarce.
     """
 
     burst_s: float = 1.0
@@ -83,7 +81,7 @@
     scarce_factor: float = 0.4
 
     def for_limit(self, limit_tokens: int, routers: int) -> "SpendBoundRule":
-        """Return the rule for a workspace with a limit that some routers share.
+        """Return the rule for a workspace whose limit is shared by a number of routers.
 
         Examples
         --------
@@ -97,7 +95,7 @@
         return msgspec.structs.replace(self, burst_tokens=burst)
 
     def tightened(self) -> "SpendBoundRule":
-        """Return the rule for a workspace that has little left."""
+        """Return the rule for a workspace whose remaining tokens are scarce."""
         return msgspec.structs.replace(
             self,
             burst_s=self.burst_s * self.scarce_factor,
@@ -107,25 +105,25 @@
 
 
 class SpendBound(msgspec.Struct, frozen=True, array_like=True):
-    """How much of one workspace a router has spent, and how it may go on.
+    """A router's spending of one workspace's tokens, and the bound on its further spending.
 
     Attributes
     ----------
     spent_tokens : int
-        Settled or reserved of the own grant when the report was made. Tokens
-        lent to peers count as spent, borrowed ones as not yet: below 0 when
+        Settled or reserved under the router's own grant at the time of the report. Tokens lent
+        to peers count as spent; borrowed tokens are subtracted, so the value is negative when
         more was borrowed than spent.
     burst_tokens : int
-        May be added at once.
+        May be spent at any time after the report.
     rate_tokens_per_s : float
-        May be added besides, from the report on.
+        May be spent in addition, from the report on.
     relax_after_s, relaxed_rate_tokens_per_s : float
-        So long after the report, so much a second may be added besides.
+        May be spent in addition at this rate, starting this many seconds after the report.
 
     Examples
     --------
-    >>> promise = SpendBound(100, 20, 10.0, 4.0, 50.0)
-    >>> promise.max_spent_tokens(0.0), promise.max_spent_tokens(2.55), promise.max_spent_tokens(5.0)
+    >>> bound = SpendBound(100, 20, 10.0, 4.0, 50.0)
+    >>> bound.max_spent_tokens(0.0), bound.max_spent_tokens(2.55), bound.max_spent_tokens(5.0)
     (120, 145, 220)
     """
 
@@ -136,20 +134,26 @@
     relaxed_rate_tokens_per_s: float
 
     def max_spent_tokens(self, elapsed_s: float) -> int:
-        """Return the most that is spent when some time has passed."""
-        paced = self.rate_tokens_per_s * max(0.0, elapsed_s)
-        paced += self.relaxed_rate_tokens_per_s * max(0.0, elapsed_s - self.relax_after_s)
-        return self.spent_tokens + self.burst_tokens + int(paced)
+        """Return the most that may have been spent a given time after the report."""
+        growth = self.rate_tokens_per_s * max(0.0, elapsed_s)
+        growth += self.relaxed_rate_tokens_per_s * max(0.0, elapsed_s - self.relax_after_s)
+        return self.spent_tokens + self.burst_tokens + int(growth)
 
 
 class SpendReport(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one incarnation reports of all workspaces.
+    """Report of one incarnation on all workspaces.
 
     Attributes
     ----------
+    number : int
+        Counts the incarnation's reports.
+    stamp_s : float
+        Reading of the store's clock, never later than the time of the report.
+    promises : dict
+        Spend bounds by workspace.
     era : int or None
-        Of the store, in which it was written, where the store names one. In a later one it binds
-        nobody: a report that came after it may be lost.
+        Era of the store in which the report was written; None if the store reports no era. In a
+        later era the report is void: a newer one may have been lost with the earlier era.
     """
 
     number: int
@@ -165,51 +169,57 @@
     demand_tokens_per_s: float,
     rule: SpendBoundRule,
 ) -> SpendBound:
-    """Return the promise of a router that has spent, holds and is asked for some tokens.
+    """Return the spend bound of a router with given spending, free tokens and demand.
 
     Examples
     --------
-    >>> promise = spend_bound_for(100, 60_000, 0, 5_000.0, SpendBoundRule())
-    >>> promise.burst_tokens, promise.rate_tokens_per_s, promise.relaxed_rate_tokens_per_s
+    >>> bound = spend_bound_for(100, 60_000, 0, 5_000.0, SpendBoundRule())
+    >>> bound.burst_tokens, bound.rate_tokens_per_s, bound.relaxed_rate_tokens_per_s
     (5000, 5000.0, 7500.0)
     """
     free_tokens = max(0, free_tokens)
-    demanded = int(rule.burst_s * demand_tokens_per_s)
-    burst = min(free_tokens, max(rule.burst_tokens, demanded, waiting_tokens))
-    rate_factor = rule.rate_factor * demand_tokens_per_s
-    late_pace = free_tokens / rule.spend_all_s
+    demand_burst = int(rule.burst_s * demand_tokens_per_s)
+    burst = min(free_tokens, max(rule.burst_tokens, demand_burst, waiting_tokens))
+    rate = rule.rate_factor * demand_tokens_per_s
+    relaxed_rate = free_tokens / rule.spend_all_s
     return SpendBound(
-        spent_tokens, burst, round(rate_factor, 1), rule.relax_after_s, round(late_pace, 1)
+        spent_tokens, burst, round(rate, 1), rule.relax_after_s, round(relaxed_rate, 1)
     )
 
 
 class _SentReport(msgspec.Struct):
-    """A report that may stand in the store, and when it was sent on the own clock."""
+    """A report that may be in the store, and the local time at which it was sent."""
 
     report: SpendReport
     sent_s: float
 
 
 class SpendReports:
-    """Writes this incarnation's reports and reads its predecessors'.
+    """Writes this incarnation's reports and reads those of its predecessors on the same node.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     store : VersionedStoreBase
-        Holds the reports.
+        Stores the reports.
     node, incarnation : str
         This router.
     make_bounds : callable
-        Returns the promises by workspace as of now.
+        Returns the present spend bounds by workspace.
     on_reported : callable
-        Called after each report that is known to stand.
+        Called after each report that is confirmed to be stored.
     log : GatewayLog
-        Told of what predecessors left.
+        Receives an event when reports of predecessors were read.
     enabled : bool, optional
-        Whether reports are written and read at all; without them all that a dead process
-        held counts as spent.
+        Whether reports are written and read. Without them, all tokens held by a crashed process
+        count as spent.
+
+    Attributes
+    ----------
+    predecessor_bounds : dict or None
+        By predecessor (earlier incarnation of the node) and by workspace, the most that it can
+        have spent; None until read.
     """
 
     def __init__(
@@ -228,33 +238,32 @@
         self._store = store
         self._node = node
         self._key = RowKey(TABLE, node, incarnation)
-        self._make_promises = make_bounds
+        self._make_bounds = make_bounds
         self._on_reported = on_reported
         self._log = log
         self._started_s = reactor.seconds()
         self._version = 0
         self._number = 0
-        self._busy = False
+        self._writing = False
         self._reading: defer.Deferred | None = None
-        self._readers: list[defer.Deferred] = []
+        self._read_waiters: list[defer.Deferred] = []
         self._sent: list[_SentReport] = []
         self._last_sent_s = -1e9
-        #: By ended incarnation and workspace, the most that it spent; None until read.
         self.predecessor_bounds: dict[str, dict[str, int]] | None = None
-        store.eras.listen(self._note_return)
+        store.eras.listen(self._discard_bounds)
 
-    def _note_return(self, era: int) -> None:
-        """Forget what ended processes reported: they may have reported more since.
+    def _discard_bounds(self, era: int) -> None:
+        """Discard the bounds of predecessors, whose latest reports may have been lost.
 
-        All that they held then counts as spent.
+        All tokens that they held then count as spent.
         """
         if self.predecessor_bounds is not None:
             self.predecessor_bounds = dict.fromkeys(self.predecessor_bounds, {})
 
     def allowance_tokens(self, workspace: str, committed_tokens: int) -> int | None:
-        """Return how much more may be committed without another report; None: any.
+        """Return how much more may be committed without another report; None if unbounded.
 
-        ``committed_tokens`` counts as ``SpendBound.spent_tokens`` does.
+        ``committed_tokens`` is counted like ``SpendBound.spent_tokens``.
         """
         now_s = self._reactor.seconds()
         bounds = [
@@ -267,33 +276,33 @@
     # Predecessors.
 
     async def read_predecessors(self) -> None:
-        """Learn what earlier incarnations of this node can have spent at most.
+        """Read the most that earlier incarnations of this node can have spent.
 
-        Several callers at once share one read.
+        Concurrent callers share one read.
         """
-        # Listed first: a read that ends at once wakes only those who wait already.
-        waiting = defer.Deferred()
-        self._readers.append(waiting)
+        # Registered before the read begins, as the read may complete synchronously.
+        waiter = defer.Deferred()
+        self._read_waiters.append(waiter)
         if self._reading is None:
-            self._reading = defer.ensureDeferred(self._read_ended())
-            self._reading.addBoth(self._read_over)
-        await waiting
+            self._reading = defer.ensureDeferred(self._read_reports())
+            self._reading.addBoth(self._read_done)
+        await waiter
 
-    def _read_over(self, result) -> None:
+    def _read_done(self, result) -> None:
         self._reading = None
-        readers, self._readers = self._readers, []
-        for waiting in readers:
-            waiting.callback(result)
+        waiters, self._read_waiters = self._read_waiters, []
+        for waiter in waiters:
+            waiter.callback(result)
 
-    async def _read_ended(self) -> None:
+    async def _read_reports(self) -> None:
         if not self._enabled:
             self.predecessor_bounds = {}
             return
-        asked_s = self._reactor.seconds()
+        read_s = self._reactor.seconds()
         table = await self._store.read_table(TABLE, self._node)
-        # The store's clock was not past this when it was asked, so this is not earlier than
-        # the start of this process, before which the others had ended.
-        now_s = self._store.time_floor_s() - (asked_s - self._started_s)
+        # When the read was sent, the store's clock had not passed this floor. The difference is
+        # therefore not earlier than the start of this process, when its predecessors had ended.
+        now_s = self._store.time_floor_s() - (read_s - self._started_s)
         predecessor_bounds = {}
         for row in table.rows:
             if row.key.key != self._key.key and not row.gone:
@@ -307,7 +316,7 @@
             )
 
     def remove_reports(self, incarnations: set[str]) -> None:
-        """Remove the reports of incarnations whose grants are accounted for."""
+        """Remove the reports of incarnations whose grants have been folded."""
         keys = tuple(RowKey(TABLE, self._node, name) for name in incarnations)
         for name in incarnations:
             self.predecessor_bounds.pop(name, None)
@@ -319,39 +328,42 @@
     # Own reports.
 
     def report_if_due(self, routers: int) -> None:
-        """Write a report when the last one is old, so that its promise stays tight.
+        """Write a report if the last one is old, so that its spend bound stays tight.
 
-        The more routers share the store, the less often each of them reports.
+        The interval grows with the number of routers that share the store.
         """
-        period_s = max(_PERIOD_S, min(_PERIOD_LIMIT_S, routers / _FLEET_REPORTS_PER_S))
+        interval_s = max(_MIN_INTERVAL_S, min(_MAX_INTERVAL_S, routers / _FLEET_REPORTS_PER_S))
         age_s = self._reactor.seconds() - self._last_sent_s
-        if age_s >= period_s and self._make_promises():
+        if age_s >= interval_s and self._make_bounds():
             self.report()
 
     def report(self) -> bool:
-        """Write a report now; False when one is under way or was just written."""
+        """Start writing a report; return False if it can't be written now.
+
+        One may be in progress or just written, or the store's time may be unknown.
+        """
         now_s = self._reactor.seconds()
-        if not self._enabled or self._busy or now_s - self._last_sent_s < _LEAST_PERIOD_S:
+        if not self._enabled or self._writing or now_s - self._last_sent_s < _MIN_URGENT_INTERVAL_S:
             return False
         if self._store.time_floor_s() is None:
             return False
-        self._busy = True
+        self._writing = True
         done = defer.ensureDeferred(self._write())
         done.addErrback(lambda failure: failure.trap(RowStoreError))
-        done.addBoth(self._ended_write)
+        done.addBoth(self._write_done)
         return True
 
-    def _ended_write(self, _) -> None:
-        self._busy = False
+    def _write_done(self, _) -> None:
+        self._writing = False
 
     async def _write(self) -> None:
         if len(self._sent) > 1:
-            # The last answer was lost: more of the same would only tighten the promise.
+            # An earlier answer was lost. Another unconfirmed report would only tighten the bound.
             await self._read_back()
         self._number += 1
         self._last_sent_s = self._reactor.seconds()
-        promises, era = self._make_promises(), self._store.eras.known
-        report = SpendReport(self._number, self._store.time_floor_s(), promises, era)
+        spend_bounds, era = self._make_bounds(), self._store.eras.known
+        report = SpendReport(self._number, self._store.time_floor_s(), spend_bounds, era)
         sent = _SentReport(report, self._last_sent_s)
         self._sent.append(sent)
         change = RowChange(self._key, msgspec.json.encode(report), self._version)
@@ -366,7 +378,7 @@
         except RowStoreError:
             self._sent.remove(sent)
             raise
-        self._stands(sent)
+        self._confirm(sent)
 
     async def _read_back(self) -> None:
         row = await self._store.read_row(self._key)
@@ -378,26 +390,25 @@
         report = msgspec.json.decode(row.value, type=SpendReport)
         for sent in self._sent:
             if sent.report.number == report.number:
-                self._stands(sent)
+                self._confirm(sent)
                 return
 
-    def _stands(self, sent: _SentReport) -> None:
-        """Drop the reports that a newer one has replaced for good."""
+    def _confirm(self, sent: _SentReport) -> None:
+        """Drop the reports that a stored one has replaced."""
         self._sent = [sent]
         self._on_reported()
 
 
 def _bounds(row: StoredRow, now_s: float, era: int | None) -> dict[str, int]:
-    """Return by workspace the most that a report's writer can have spent by now.
+    """Return by workspace the most that a report's writer can have spent by ``now_s``.
 
-    Nothing where the report is of an earlier era than the store's; a build that knows no eras
-    tells none.
+    Returns no bounds if the report is of another era than the store's. A report without an era
+    is accepted: versions without support for eras write none.
     """
     report = msgspec.json.decode(row.value, type=SpendReport)
     if report.era not in (None, era):
         return {}
     elapsed_s = now_s - report.stamp_s
     return {
-        workspace: promise.max_spent_tokens(elapsed_s)
-        for workspace, promise in report.promises.items()
+        workspace: bound.max_spent_tokens(elapsed_s) for workspace, bound in report.promises.items()
     }
