--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -1,14 +1,14 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Prepaid tokens of workspaces, shared by all routers through one row each.
 
-The row of a workspace holds what each router incarnation was ever granted, and
-what ended incarnations spent. A router spends only under a grant that the row
-already holds, so the sum of all that is spent can't pass the limit, whoever
-dies or is cut off. Of a dead router's grant, its successor on the same node gives back
-what it can't have spent; see ``spending``.
-
-What the store can't give, because it is not reached or has nothing left, is
-borrowed from peers; see ``loans``. ``accounts`` has the row and its changes.
+The row of a workspace records the tokens granted to each router incarnation, and the spending of
+earlier incarnations. A router spends only under a grant that is already in the row, so the total
+spending can't exceed the limit, whichever routers crash or are disconnected. After a crash, the
+successor on the same node returns the part of the grant that can't have been spent; see
+``spending``.
+
+If the store is unreachable or has no tokens left, a router borrows from its peers; see ``loans``.
+``accounts`` defines the row and its changes.
 """
 
 import contextlib
@@ -57,26 +57,26 @@
 
 #: Seconds a request waits for a grant before it is refused.
 _WAIT_S = 0.3
-#: Seconds between two looks at the ledger's plans.
-_PERIOD_S = 0.25
-#: Seconds of pause after the store was not reached.
+#: Interval between two runs of the periodic maintenance.
+_INTERVAL_S = 0.25
+#: Seconds without calls to the store after one failed.
 _PAUSE_S = 0.3
-#: Part of what was held at the last contact that is kept for more urgent requests, by step
-#: of priority, and at most.
+#: While the store is unreachable, fraction of the tokens held when it was last reached that is
+#: withheld for more urgent requests: per priority level, and at most.
 WITHHELD_SHARE_PER_PRIORITY = 0.15
-_KEPT_LIMIT = 0.5
-#: Looks at rows a second that all routers together take, as long as each looks at least every
-#: so many seconds.
-_FLEET_VIEWS_PER_S = 100.0
-_VIEW_LIMIT_S = 10.0
-#: Seconds for which a shortage is told to peers.
-_SHORT_S = 2.0
-#: Seconds without a request after which a router hands back what it does not hold for itself.
-_HAND_BACK_S = 0.5
-#: Seconds after which the reports of earlier incarnations are asked for again.
-_LOOK_BACK_PAUSE_S = 0.4
-#: Conflicts in a row after which a change is left for the next look.
-_CONFLICT_LIMIT = 30
+_MAX_WITHHELD_SHARE = 0.5
+#: Target rate of the row reads of all routers together; each router reads a row at least once
+#: per ``_MAX_REFRESH_S``.
+_FLEET_READS_PER_S = 100.0
+_MAX_REFRESH_S = 10.0
+#: Seconds for which a shortage is announced to peers.
+_SHORTAGE_S = 2.0
+#: Seconds without a request after which a router that is not a holder returns its free tokens.
+_IDLE_RETURN_S = 0.5
+#: Seconds until a failed read of the reports of earlier incarnations is repeated.
+_PREDECESSORS_RETRY_S = 0.4
+#: Attempts to write a row before the change is postponed to the next run.
+_MAX_WRITE_ATTEMPTS = 30
 
 
 class BudgetRefusal(StrEnum):
@@ -87,44 +87,46 @@
 
 
 class PrepaidAccounts:
-    """Grants of one router incarnation.
+    """Reserves prepaid tokens for requests, and manages the grants of one router incarnation.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     store : VersionedStoreBase
-        Holds the rows.
+        Stores the rows.
     node, incarnation : str
         This router; the incarnation's name begins with the node's and ``@``.
     rule : SizingRule
-        How far ahead grants are taken; its ``floor_share`` is that of all routers together.
+        How far ahead of demand grants are taken; its ``floor_share`` is divided among the
+        holders.
     log : GatewayLog
-        Told of each change of a grant.
+        Receives an event for each change of a grant.
     live_routers : callable
-        How many routers may live; how often one of them may call the store follows from it.
+        Returns the number of routers that may be running, which limits how often each of them
+        reports its spending.
     bound_rule : SpendBoundRule, optional
-        How tight the promises of reports are.
+        How tight the reported spend bounds are.
     loan_rule : LoanRule, optional
         How much is lent and borrowed.
     end_reserve_rule : EndReserveRule, optional
-        What is kept for the end of a limit.
+        Size and release time of the reserve at the end of a limit.
     withheld_share_per_priority : float, optional
-        Part of what was held at the last contact that is kept for more urgent requests
-        while the store is away, by step of priority.
+        While the store is unreachable, fraction of the tokens held when it was last reached that
+        is withheld for more urgent requests, per priority level.
     reports : bool, optional
-        Whether what is spent is reported for a successor.
+        Whether spending is reported for a successor.
     holders : HoldersBase, optional
-        Which routers hold a workspace's tokens; what one of them may hold follows from it.
+        Which routers hold a workspace's tokens; the size of their grants depends on their number.
 
     Attributes
     ----------
     holder_client : HolderClient or None
-        Asks the holders of workspaces that this router does not hold.
+        Requests tokens from the holders of a workspace if this router is not one of them.
     news : AccountUpdates
-        What rows are known to have said, here and at other routers.
+        Contents of rows as last known here and at other routers.
     on_written : callable
-        Called after each write of a row, of which others should know soon.
+        Called after each write of a row, so that it is announced to other routers soon.
     """
 
     def __init__(
@@ -153,54 +155,54 @@
         self._holders = holders or EveryRouterHolds(live_routers)
         self.holder_client: HolderClient | None = None
         self._rule = rule
-        self._promise_rule = bound_rule or SpendBoundRule()
+        self._bound_rule = bound_rule or SpendBoundRule()
         self._loan_rule = loan_rule or LoanRule()
-        self._end_rule = end_reserve_rule or EndReserveRule()
-        self._kept_by_priority = withheld_share_per_priority
+        self._end_reserve_rule = end_reserve_rule or EndReserveRule()
+        self._withheld_share_per_priority = withheld_share_per_priority
         self._paused_until_s = 0.0
-        self._lost_contact = False
+        self._store_unreachable = False
         self._stopping = False
         self.ledger = GrantLedger(rule)
         self.news = AccountUpdates(reactor.seconds, store.eras)
         self.on_written: Callable[[], None] = lambda: None
         self._restorer = AccountRestorer(reactor, store, incarnation, self.ledger, self.news, log)
         self._borrower = Borrower(
-            reactor, self.ledger, self._loan_rule, self._spendable_tokens, self._loan_came, log
+            reactor, self.ledger, self._loan_rule, self._spendable_tokens, self._on_loan, log
         )
         self._reports = SpendReports(
-            reactor, store, node, incarnation, self._promises, self._reported, log, reports
+            reactor, store, node, incarnation, self._spend_bounds, self._on_reported, log, reports
         )
 
     # Used by requests.
 
     def set_limits(self, workspaces: dict[str, Workspace], version: int) -> None:
-        """Take in the limits of a configuration."""
+        """Apply the limits of a configuration."""
         for workspace in workspaces.values():
             if workspace.prepaid_tokens is None:
                 continue
             account = self._account(workspace.name)
             account.limit = (workspace.prepaid_tokens, version)
             if account.row is not None:
-                self._show_limit(workspace.name, account)
+                self._update_ledger_view(workspace.name, account)
             if self._holds(workspace.name) and self._holders.settled:
-                self.work_on(workspace.name)
+                self.schedule_update(workspace.name)
 
     def reserve(self, workspace: str, tokens: int, priority: int = 0, ahead_tokens: int = 0):
         """Return a reservation, a refusal, or a deferred of one of them.
 
-        While the store is not reached, a part of what is left is kept for more
-        urgent requests than one of ``priority`` (0 is the most urgent). ``ahead_tokens``
-        are what the request may need later, see ``reserve_now``.
+        While the store is unreachable, a part of the remaining tokens is withheld for more urgent
+        requests than those of ``priority`` (0 is the most urgent). ``ahead_tokens`` is the number
+        of tokens that the request may need later; see ``reserve_now``.
         """
         if not self._holds(workspace) and self.holder_client is not None:
             return self._reserve_from_holder(workspace, tokens, priority, ahead_tokens)
         return self._reserve_locally(workspace, tokens, priority)
 
     def _holds(self, workspace: str) -> bool:
-        """Tell whether this router holds tokens of a workspace; keep the ledger in step.
+        """Tell whether this router holds tokens of a workspace, and update the ledger accordingly.
 
-        While members are being added, whoever held tokens goes on: they would be handed
-        to and fro otherwise.
+        The ledger is not changed until the membership has settled, as tokens would move back and
+        forth between routers otherwise.
         """
         holds = self._holders.holds(workspace)
         if self._holders.settled:
@@ -208,133 +210,133 @@
         return holds
 
     def _reserve_locally(self, workspace: str, tokens: int, priority: int):
-        """Reserve out of the own grant, or what the store and the peers add to it."""
+        """Reserve tokens of the own grant, extended by the store or by loans if needed."""
         account = self._account(workspace)
-        if self._lost_contact and self._is_kept(account, tokens, priority):
-            return self._refused(account, tokens, BudgetRefusal.UNREACHABLE, kept=True)
+        if self._store_unreachable and self._is_withheld(account, tokens, priority):
+            return self._log_refusal(account, tokens, BudgetRefusal.UNREACHABLE, withheld=True)
         reservation = self._try_reserve(workspace, tokens, first_try=True)
         if reservation is not None:
             if self.ledger.free_tokens(workspace) < tokens:
-                self.work_on(workspace)
+                self.schedule_update(workspace)
             return reservation
-        account.short_until_s = self._reactor.seconds() + _SHORT_S
+        account.short_until_s = self._reactor.seconds() + _SHORTAGE_S
         lendable = self._borrower.lendable_tokens(workspace)
         exhausted = self._is_exhausted(account, workspace, tokens)
-        if exhausted and not self._lets_through(account, tokens):
-            self.work_on(workspace)
-            return self._refused(account, tokens, BudgetRefusal.EXHAUSTED)
-        if self._lost_contact and not lendable:
-            # Waiting would only make the refusal late.
-            return self._refused(account, tokens, BudgetRefusal.UNREACHABLE)
+        if exhausted and not self._admit_from_reserve(account, tokens):
+            self.schedule_update(workspace)
+            return self._log_refusal(account, tokens, BudgetRefusal.EXHAUSTED)
+        if self._store_unreachable and not lendable:
+            # No tokens can arrive while the request waits.
+            return self._log_refusal(account, tokens, BudgetRefusal.UNREACHABLE)
         waiter = WaitingRequest(tokens, exhausted)
-        self._let_wait(account, waiter)
-        no_help = self._lost_contact or self._restorer.remaining_wait_s > 0
-        if lendable and (no_help or self._store_has_too_little(account, workspace)):
+        self._enqueue(account, waiter)
+        grants_paused = self._store_unreachable or self._restorer.remaining_wait_s > 0
+        if lendable and (grants_paused or self._store_is_short(account, workspace)):
             self._borrow(account)
         else:
             self._reports.report()
-            self.work_on(workspace)
+            self.schedule_update(workspace)
         return waiter.deferred
 
-    def _let_wait(self, account: WorkspaceAccount, waiter: WaitingRequest) -> None:
-        """Let a request wait for tokens, for a bounded time."""
+    def _enqueue(self, account: WorkspaceAccount, waiter: WaitingRequest) -> None:
+        """Queue a request that waits for tokens, with a time limit."""
         account.waiters.append(waiter)
         limit_s = _WAIT_S + self._restorer.remaining_wait_s
-        self._reactor.callLater(limit_s, self._give_up, account.workspace, waiter)
+        self._reactor.callLater(limit_s, self._time_out, account.workspace, waiter)
 
-    def _refused(
-        self, account: WorkspaceAccount, tokens: int, answer: BudgetRefusal, kept: bool = False
+    def _log_refusal(
+        self, account: WorkspaceAccount, tokens: int, refusal: BudgetRefusal, withheld: bool = False
     ) -> BudgetRefusal:
-        """Write a line on a refusal with what decided it; return the answer."""
+        """Log a refusal with the values that led to it; return the reason."""
         workspace = account.workspace
         self._log.failure(
             "prepaid.refused",
             workspace=workspace,
             tokens=tokens,
-            answer=answer,
+            answer=refusal,
             free=self.ledger.free_tokens(workspace),
             promised=self._reported_allowance_tokens(workspace),
             lendable=self._borrower.lendable_tokens(workspace),
             ungranted=ungranted_tokens(account.row) if account.row is not None else None,
             limit=account.row.limit_tokens if account.row is not None else None,
             row_version=account.version,
-            in_contact=not self._lost_contact,
-            kept_for_urgent=kept,
+            in_contact=not self._store_unreachable,
+            kept_for_urgent=withheld,
         )
-        return answer
+        return refusal
 
-    def _lets_through(self, account: WorkspaceAccount, tokens: int) -> bool:
-        """Tell whether a request gets a part of what is kept for the end."""
-        if self._lost_contact:
+    def _admit_from_reserve(self, account: WorkspaceAccount, tokens: int) -> bool:
+        """Tell whether a request may be served from the end reserve."""
+        if self._store_unreachable:
             return False
         now_s = self._reactor.seconds()
         return account.end_reserve.admit_request(account.row, tokens, now_s)
 
-    def _is_kept(self, account: WorkspaceAccount, tokens: int, priority: int) -> bool:
-        """Tell whether a request would take what is kept for more urgent ones."""
-        kept_share = min(_KEPT_LIMIT, self._kept_by_priority * priority)
-        kept = kept_share * account.free_at_last_contact
-        if kept <= 0:
+    def _is_withheld(self, account: WorkspaceAccount, tokens: int, priority: int) -> bool:
+        """Tell whether a request would use tokens withheld for more urgent ones."""
+        withheld_share = min(_MAX_WITHHELD_SHARE, self._withheld_share_per_priority * priority)
+        withheld = withheld_share * account.free_at_last_contact
+        if withheld <= 0:
             return False
-        within_reach = self.ledger.free_tokens(account.workspace)
-        within_reach += self._borrower.lendable_tokens(account.workspace)
-        return within_reach - tokens < kept
+        available = self.ledger.free_tokens(account.workspace)
+        available += self._borrower.lendable_tokens(account.workspace)
+        return available - tokens < withheld
 
     def _try_reserve(self, workspace: str, tokens: int, first_try: bool) -> Reservation | None:
-        promised = self._reported_allowance_tokens(workspace)
-        if promised is not None and tokens > promised:
-            # The promise of the last report is used up; a new one lets it go.
+        allowance = self._reported_allowance_tokens(workspace)
+        if allowance is not None and tokens > allowance:
+            # The bound of the last report is used up; the next report raises it.
             return None
         result = self.ledger.reserve(workspace, tokens, self._reactor.seconds(), first_try)
         return result.ok if result.is_ok() else None
 
     def _reported_allowance_tokens(self, workspace: str) -> int | None:
-        """Return what the last report lets be committed; None: all that is free."""
+        """Return how much more may be committed under the last report; None if unbounded."""
         return self._reports.allowance_tokens(workspace, self._own_committed_tokens(workspace))
 
     def _own_committed_tokens(self, workspace: str) -> int:
-        """Return what is settled or reserved under the own grant."""
+        """Return the tokens settled or reserved under the own grant."""
         account = self._accounts.get(workspace)
         borrowed = account.borrowed_tokens if account is not None else 0
         return self.ledger.committed_tokens(workspace) - borrowed
 
     def _spendable_tokens(self, workspace: str) -> int:
-        """Return what may be reserved now."""
+        """Return the tokens that may be reserved now."""
         free = max(0, self.ledger.free_tokens(workspace))
-        promised = self._reported_allowance_tokens(workspace)
-        return free if promised is None else max(0, min(free, promised))
+        allowance = self._reported_allowance_tokens(workspace)
+        return free if allowance is None else max(0, min(free, allowance))
 
     def reserve_now(self, workspace: str, tokens: int) -> Reservation | None:
-        """Return a reservation out of what is held, or None."""
+        """Return a reservation of tokens held already, or None."""
         return self._try_reserve(workspace, tokens, first_try=True)
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
-        """Close a reservation with what was used."""
+        """Close a reservation with the tokens used."""
         self.ledger.settle(reservation, used_tokens)
         account = self._accounts.get(reservation.budget)
         if account is not None and account.waiters:
             self._serve_waiters(reservation.budget, account)
 
-    # Requests of workspaces that other routers hold.
+    # Requests of workspaces whose tokens other routers hold.
 
     def _reserve_from_holder(self, workspace: str, tokens: int, priority: int, ahead_tokens: int):
-        """Reserve out of what a holder lends for this request."""
+        """Reserve tokens that a holder lends for this request."""
         reservation = self._try_reserve(workspace, tokens, first_try=False)
         if reservation is not None:
             return reservation
-        # It is asked for below; the plans must not take it from the store as well.
+        # The tokens are requested from a holder below; the plans must not also take a grant.
         self.ledger.clear_wanted(workspace)
         account = self._account(workspace)
         waiter = WaitingRequest(tokens)
-        part = self._reserve_part(workspace)
-        least = tokens - (part.tokens if part is not None else 0)
-        ask = LoanAsk(workspace, least, least + ahead_tokens, priority, for_request=True)
-        done = defer.ensureDeferred(self._borrow_for(account, waiter, ask, part))
-        done.addErrback(self._failed, workspace)
+        partial = self._reserve_free_tokens(workspace)
+        required = tokens - (partial.tokens if partial is not None else 0)
+        ask = LoanAsk(workspace, required, required + ahead_tokens, priority, for_request=True)
+        done = defer.ensureDeferred(self._borrow_for(account, waiter, ask, partial))
+        done.addErrback(self._on_failure, workspace)
         return waiter.deferred
 
-    def _reserve_part(self, workspace: str) -> Reservation | None:
-        """Set aside what is free, so that no other request counts on it too."""
+    def _reserve_free_tokens(self, workspace: str) -> Reservation | None:
+        """Reserve the free tokens, so that no concurrent request relies on them too."""
         tokens = self._spendable_tokens(workspace)
         return self._try_reserve(workspace, tokens, first_try=False) if tokens else None
 
@@ -343,15 +345,15 @@
         account: WorkspaceAccount,
         waiter: WaitingRequest,
         ask: LoanAsk,
-        part: Reservation | None,
+        partial: Reservation | None,
     ) -> None:
-        """Serve one request out of a holder's loan and the part that is set aside for it.
+        """Serve one request with a holder's loan and the tokens already reserved for it.
 
-        Without a loan it waits for the store.
+        If no holder lends, the request waits for the store.
         """
         loan = await self.holder_client.borrow(ask)
-        if part is not None:
-            self.ledger.settle(part, 0)
+        if partial is not None:
+            self.ledger.settle(partial, 0)
         if loan.tokens > 0:
             account.borrowed_tokens += loan.tokens
             self.ledger.add(account.workspace, loan.tokens)
@@ -359,17 +361,17 @@
             if reservation is not None:
                 waiter.deferred.callback(reservation)
                 return
-        if loan.exhausted or self._lost_contact:
+        if loan.exhausted or self._store_unreachable:
             answer = BudgetRefusal.EXHAUSTED if loan.exhausted else BudgetRefusal.UNREACHABLE
-            waiter.deferred.callback(self._refused(account, waiter.tokens, answer))
+            waiter.deferred.callback(self._log_refusal(account, waiter.tokens, answer))
             return
-        self._let_wait(account, waiter)
-        self.work_on(account.workspace)
+        self._enqueue(account, waiter)
+        self.schedule_update(account.workspace)
 
     def lend_for_request(self, ask: LoanAsk) -> defer.Deferred:
-        """Return what a peer's request needs, got as though the request were an own one.
+        """Return the tokens for a peer's request, reserved like those of an own request.
 
-        The deferred fires with a ``Loan``; one that is cancelled lends nothing.
+        The deferred fires with a ``Loan``. Nothing is lent once it has been cancelled.
         """
         lending = defer.Deferred()
 
@@ -387,82 +389,82 @@
         return lending
 
     def _loan_from(self, ask: LoanAsk, answer: Reservation | BudgetRefusal) -> Loan:
-        """Count a reservation as spent here, and what can be spared besides."""
+        """Return a loan of reserved and of surplus tokens; both count as spent here."""
         if isinstance(answer, BudgetRefusal):
             return Loan(0, exhausted=answer is BudgetRefusal.EXHAUSTED)
         self.ledger.settle(answer, answer.tokens)
         self._log_lent(ask.workspace, answer.tokens)
-        ahead = LoanAsk(ask.workspace, 0, ask.desired_tokens - ask.required_tokens)
-        return Loan(answer.tokens + self.lend(ahead))
+        surplus_ask = LoanAsk(ask.workspace, 0, ask.desired_tokens - ask.required_tokens)
+        return Loan(answer.tokens + self.lend(surplus_ask))
 
     def accept_return(self, returned: LoanReturn) -> None:
-        """Take in what a peer was lent and has no use for."""
+        """Add the tokens that a peer had borrowed and returns unused."""
         account = self._account(returned.workspace)
         account.borrowed_tokens += returned.tokens
         self.ledger.add(returned.workspace, returned.tokens)
         self._serve_waiters(returned.workspace, account)
 
-    def _may_hand_back(self, workspace: str, account: WorkspaceAccount, now_s: float) -> bool:
+    def _may_return(self, workspace: str, account: WorkspaceAccount, now_s: float) -> bool:
         if self.holder_client is None or not self._holders.settled:
             return False
-        if account.handing_back or account.waiters:
+        if account.returning or account.waiters:
             return False
-        return self.ledger.is_idle(workspace, _HAND_BACK_S, now_s)
+        return self.ledger.is_idle(workspace, _IDLE_RETURN_S, now_s)
 
-    def _hand_back(self, workspace: str, account: WorkspaceAccount) -> None:
-        account.handing_back = True
+    def _start_return(self, workspace: str, account: WorkspaceAccount) -> None:
+        account.returning = True
         done = defer.ensureDeferred(self._return_free_tokens(workspace))
-        done.addErrback(self._failed, workspace)
-        done.addBoth(lambda _: self._handed_back(account))
+        done.addErrback(self._on_failure, workspace)
+        done.addBoth(lambda _: self._return_done(account))
 
-    def _handed_back(self, account: WorkspaceAccount) -> None:
-        account.handing_back = False
+    def _return_done(self, account: WorkspaceAccount) -> None:
+        account.returning = False
 
     async def _return_free_tokens(self, workspace: str) -> None:
-        """Hand what is free to a holder; it counts as spent here before the message leaves."""
-        reservation = self._reserve_part(workspace)
+        """Return free tokens to a holder; they count as spent before the message is sent."""
+        reservation = self._reserve_free_tokens(workspace)
         if reservation is None:
             return
         tokens = reservation.tokens
         self.ledger.settle(reservation, tokens)
-        became = await self.holder_client.return_tokens(workspace, tokens)
-        if became is ReturnOutcome.NOT_SENT:
+        outcome = await self.holder_client.return_tokens(workspace, tokens)
+        if outcome is ReturnOutcome.NOT_SENT:
             self.ledger.unsettle(workspace, tokens)
-        elif became is ReturnOutcome.LOST:
+        elif outcome is ReturnOutcome.LOST:
             self._log.failure("prepaid.lost_on_return", workspace=workspace, tokens=tokens)
 
-    # The work.
+    # Maintenance of grants.
 
     def start(self) -> None:
-        """Begin to look at the ledger's plans, and for what earlier incarnations left."""
-        self._reactor.callLater(_PERIOD_S, self._tick)
-        self._look_back()
+        """Start the periodic maintenance, and read the reports of earlier incarnations."""
+        self._reactor.callLater(_INTERVAL_S, self._tick)
+        self._read_predecessors()
 
-    def _look_back(self) -> None:
-        """Account for what earlier incarnations of this node held, until it is known."""
+    def _read_predecessors(self) -> None:
+        """Read the reports of earlier incarnations of this node, unless already read."""
         if self._reports.predecessor_bounds is not None:
             return
-        looking = defer.ensureDeferred(self._reports.read_predecessors())
-        looking.addCallbacks(lambda _: self._work_on_ended(), self._look_back_failed)
+        done = defer.ensureDeferred(self._reports.read_predecessors())
+        done.addCallbacks(lambda _: self._schedule_folds(), self._read_predecessors_failed)
 
-    def _look_back_failed(self, failure) -> None:
+    def _read_predecessors_failed(self, failure) -> None:
         self._log.failure("prepaid.look_back_failed", cause=failure.getErrorMessage())
-        self._reactor.callLater(_LOOK_BACK_PAUSE_S, self._look_back)
+        self._reactor.callLater(_PREDECESSORS_RETRY_S, self._read_predecessors)
 
-    def _work_on_ended(self) -> None:
+    def _schedule_folds(self) -> None:
         for workspace in {
             name for bounds in self._reports.predecessor_bounds.values() for name in bounds
         }:
-            self.work_on(workspace)
+            self.schedule_update(workspace)
 
     def _tick(self) -> None:
-        self._reactor.callLater(_PERIOD_S, self._tick)
-        self.look()
+        self._reactor.callLater(_INTERVAL_S, self._tick)
+        self.run_maintenance()
 
-    def look(self) -> None:
-        """Look at the ledger's plans once, and do what they ask for."""
+    def run_maintenance(self) -> None:
+        """Run the periodic maintenance once: report spending, and adjust or return grants."""
         now_s = self._reactor.seconds()
-        self._size_grants()
+        self._update_sizing_rule()
         if now_s >= self._paused_until_s:
             waiting = any(account.waiters for account in self._accounts.values())
             if waiting:
@@ -473,24 +475,24 @@
             self._account(workspace)
         for workspace, account in self._accounts.items():
             holds = self._holds(workspace)
-            if self._needs_work(workspace, account, now_s):
-                self.work_on(workspace)
-            elif not holds and self._may_hand_back(workspace, account, now_s):
-                self._hand_back(workspace, account)
+            if self._needs_update(workspace, account, now_s):
+                self.schedule_update(workspace)
+            elif not holds and self._may_return(workspace, account, now_s):
+                self._start_return(workspace, account)
 
-    def _size_grants(self) -> None:
-        """Share what is held without demand, and looks at rows, among the holders."""
+    def _update_sizing_rule(self) -> None:
+        """Divide the minimum grant and the rate of row reads among the holders."""
         routers = self._holders.count
-        view_s = min(_VIEW_LIMIT_S, routers * len(self._accounts) / _FLEET_VIEWS_PER_S)
-        near_s = max(self._rule.near_limit_refresh_s, view_s)
+        refresh_s = min(_MAX_REFRESH_S, routers * len(self._accounts) / _FLEET_READS_PER_S)
+        near_refresh_s = max(self._rule.near_limit_refresh_s, refresh_s)
         self.ledger.rule = msgspec.structs.replace(
             self._rule,
             floor_share=self._rule.floor_share / routers,
-            near_limit_refresh_s=near_s,
-            default_refresh_s=max(self._rule.default_refresh_s, near_s),
+            near_limit_refresh_s=near_refresh_s,
+            default_refresh_s=max(self._rule.default_refresh_s, near_refresh_s),
         )
 
-    def _needs_work(self, workspace: str, account: WorkspaceAccount, now_s: float) -> bool:
+    def _needs_update(self, workspace: str, account: WorkspaceAccount, now_s: float) -> bool:
         if self._restorer.needs_restore(account):
             return True
         if account.unresolved is not None or account.waiters:
@@ -503,17 +505,17 @@
             return True
         return self.ledger.plan_grant(workspace, now_s) is not None
 
-    def work_on(self, workspace: str) -> None:
-        """Bring one workspace's grant in line with what is needed, one call at a time."""
+    def schedule_update(self, workspace: str) -> None:
+        """Start adjusting one workspace's grant to its demand, unless this is in progress."""
         account = self._account(workspace)
         if account.busy or self._reactor.seconds() < self._paused_until_s:
             return
         account.busy = True
-        done = defer.ensureDeferred(self._work(workspace, account))
-        done.addErrback(self._failed, workspace)
-        done.addBoth(lambda _: self._ended(workspace, account))
+        done = defer.ensureDeferred(self._update(workspace, account))
+        done.addErrback(self._on_failure, workspace)
+        done.addBoth(lambda _: self._update_done(workspace, account))
 
-    def _failed(self, failure, workspace: str) -> None:
+    def _on_failure(self, failure, workspace: str) -> None:
         if failure.check(RowsUnavailableError, RowOutcomeUnknownError):
             self._pause()
             return
@@ -522,12 +524,12 @@
 
     def _pause(self) -> None:
         self._paused_until_s = self._reactor.seconds() + _PAUSE_S
-        self._lose_contact()
+        self._mark_store_unreachable()
 
-    def _lose_contact(self) -> None:
-        if self._lost_contact:
+    def _mark_store_unreachable(self) -> None:
+        if self._store_unreachable:
             return
-        self._lost_contact = True
+        self._store_unreachable = True
         self._log.failure("prepaid.contact_lost")
         for workspace, account in self._accounts.items():
             if account.waiters and self.lenders.spare(workspace):
@@ -536,42 +538,42 @@
             self._refuse_waiters(account, BudgetRefusal.UNREACHABLE)
 
     def note_store_reachable(self) -> None:
-        """Note that the store answers this router, though it was not asked about tokens.
+        """Note that the store has answered a call that did not concern tokens.
 
-        A router that holds tokens learns it from its own calls; one that holds none makes
-        none until it has to.
+        A router that holds no tokens makes no calls about them, and so would not notice that the
+        store is reachable again. One that holds tokens relies on its own calls.
         """
-        if self._lost_contact and not any(map(self._holders.holds, self._accounts)):
-            self._regain_contact()
+        if self._store_unreachable and not any(map(self._holders.holds, self._accounts)):
+            self._mark_store_reachable()
 
-    def _regain_contact(self) -> None:
-        self._lost_contact = False
+    def _mark_store_reachable(self) -> None:
+        self._store_unreachable = False
         self._log.event("prepaid.contact_regained")
 
-    def _note_contact(self) -> None:
-        if self._lost_contact:
-            self._regain_contact()
+    def _on_store_reached(self) -> None:
+        if self._store_unreachable:
+            self._mark_store_reachable()
         for workspace, account in self._accounts.items():
             account.free_at_last_contact = self.ledger.free_tokens(workspace)
 
-    def _ended(self, workspace: str, account: WorkspaceAccount) -> None:
+    def _update_done(self, workspace: str, account: WorkspaceAccount) -> None:
         account.busy = False
         self._serve_waiters(workspace, account)
 
-    def _promises(self) -> dict[str, SpendBound]:
+    def _spend_bounds(self) -> dict[str, SpendBound]:
         return {
-            workspace: self._promise(workspace)
+            workspace: self._spend_bound(workspace)
             for workspace in self.ledger.budgets()
             if self._has_own_grant(workspace) and self.ledger.held_tokens(workspace) > 0
         }
 
     def _has_own_grant(self, workspace: str) -> bool:
-        """Tell whether a successor finds a grant of this incarnation in the row."""
+        """Tell whether the row records a grant of this incarnation, which a successor may fold."""
         account = self._accounts.get(workspace)
         borrowed = account.borrowed_tokens if account is not None else 0
         return self.ledger.granted_tokens(workspace) > borrowed
 
-    def _promise(self, workspace: str) -> SpendBound:
+    def _spend_bound(self, workspace: str) -> SpendBound:
         account = self._accounts.get(workspace)
         waiting = account.waiting_tokens if account else 0
         return spend_bound_for(
@@ -583,45 +585,45 @@
         )
 
     def _bound_rule_for(self, workspace: str, account: WorkspaceAccount | None) -> SpendBoundRule:
-        """Return a tighter rule where little is left of a workspace's limit.
+        """Return the rule of a workspace's spend bounds, tighter if its tokens are scarce.
 
-        What the others hold is guessed to be what is held here, for each.
+        Each of the other holders is assumed to hold as many tokens as this router.
         """
-        rule = self._promise_rule
+        rule = self._bound_rule
         if account is None or account.row is None:
             return rule
         routers = self._holders.count
         rule = rule.for_limit(account.row.limit_tokens, routers)
         held = routers * max(0, self.ledger.free_tokens(workspace))
-        left = max(0, ungranted_tokens(account.row)) + held
-        scarce = left < rule.scarce_share * account.row.limit_tokens
+        remaining = max(0, ungranted_tokens(account.row)) + held
+        scarce = remaining < rule.scarce_share * account.row.limit_tokens
         return rule.tightened() if scarce else rule
 
-    def _reported(self) -> None:
-        self._note_contact()
+    def _on_reported(self) -> None:
+        self._on_store_reached()
         for workspace, account in self._accounts.items():
             if account.waiters:
                 self._serve_waiters(workspace, account)
 
-    async def _work(self, workspace: str, account: WorkspaceAccount) -> None:
-        await self._look(workspace, account)
+    async def _update(self, workspace: str, account: WorkspaceAccount) -> None:
+        await self._refresh(workspace, account)
         if not self._restorer.is_current(account):
             return
-        spare = self._spare(workspace)
-        if spare and not account.waiters:
-            await self._give_back(workspace, account, spare)
+        surplus = self._surplus(workspace)
+        if surplus and not account.waiters:
+            await self._return_surplus(workspace, account, surplus)
             return
-        for _ in range(_CONFLICT_LIMIT):
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             if not self._restorer.is_current(account):
                 return
-            ask = self._ask(workspace, account)
+            ask = self._grant_request(workspace, account)
             if ask is None:
                 await self._fold_only(workspace, account)
                 return
-            tokens = self._grantable(account, ask)
+            tokens = self._grantable_tokens(account, ask)
             if tokens <= 0:
                 await self._read(workspace, account)
-                tokens = self._grantable(account, ask)
+                tokens = self._grantable_tokens(account, ask)
                 if tokens <= 0:
                     self.ledger.clear_wanted(workspace)
                     return
@@ -639,83 +641,85 @@
                 return
 
     async def _fold_only(self, workspace: str, account: WorkspaceAccount) -> None:
-        """Write what earlier incarnations gave back, where nothing else is to be written."""
+        """Write the fold of earlier incarnations if there is no other change to write it with."""
         if account.unfolded is not None and not self._holders.all_routers_hold:
             await self._write(workspace, account, 0)
 
-    async def _look(self, workspace: str, account: WorkspaceAccount) -> None:
-        """Learn from the store what is not known, or no longer fresh."""
+    async def _refresh(self, workspace: str, account: WorkspaceAccount) -> None:
+        """Read from the store whatever is unknown or stale."""
         if self._reports.predecessor_bounds is None:
             await self._reports.read_predecessors()
         if not self._restorer.is_current(account):
             row = await self._restorer.restore(account)
             if row is None:
                 return
-            self._take_in(workspace, account, row)
+            self._apply_row(workspace, account, row)
         if account.unresolved is not None:
             await self._resolve(workspace, account)
         stale = self.ledger.needs_refresh(workspace, self._reactor.seconds())
         if account.row is None or stale:
             await self._read(workspace, account)
 
-    def _spare(self, workspace: str) -> int:
+    def _surplus(self, workspace: str) -> int:
         if self._stopping:
             return self.ledger.free_tokens(workspace)
         return self.ledger.plan_return(workspace, self._reactor.seconds())
 
-    def _ask(self, workspace: str, account: WorkspaceAccount) -> GrantRequest | None:
+    def _grant_request(self, workspace: str, account: WorkspaceAccount) -> GrantRequest | None:
         if self._restorer.remaining_wait_s > 0:
             return None
         ask = self.ledger.plan_grant(workspace, self._reactor.seconds())
         if self._stopping:
             ask = None
         waiting = account.waiting_tokens
-        short = waiting - max(0, self.ledger.free_tokens(workspace))
-        if short <= 0:
+        shortfall = waiting - max(0, self.ledger.free_tokens(workspace))
+        if shortfall <= 0:
             return ask
-        most = max(short, ask.desired_tokens if ask is not None else 0)
-        return GrantRequest(short, most)
+        desired = max(shortfall, ask.desired_tokens if ask is not None else 0)
+        return GrantRequest(shortfall, desired)
 
-    def _grantable(self, account: WorkspaceAccount, ask: GrantRequest) -> int:
+    def _grantable_tokens(self, account: WorkspaceAccount, ask: GrantRequest) -> int:
         if account.all_from_reserve:
-            left = ungranted_tokens(account.row)
-            return min(ask.required_tokens, left) if left >= ask.required_tokens else 0
-        left = account.end_reserve.available_tokens(account.row)
-        shared = int(left * self.ledger.rule.share)
+            remaining = ungranted_tokens(account.row)
+            return min(ask.required_tokens, remaining) if remaining >= ask.required_tokens else 0
+        remaining = account.end_reserve.available_tokens(account.row)
+        shared = int(remaining * self.ledger.rule.share)
         tokens = min(ask.desired_tokens, max(ask.required_tokens, shared))
-        if tokens <= left:
+        if tokens <= remaining:
             return tokens
-        # What is left serves some of those that wait, if not all.
-        return max(0, left) if ask.required_tokens else 0
+        # The remaining tokens serve some of the waiting requests, if not all.
+        return max(0, remaining) if ask.required_tokens else 0
 
-    async def _give_back(self, workspace: str, account: WorkspaceAccount, spare: int) -> None:
-        taken = self.ledger.withdraw(workspace, spare)
-        if taken <= 0:
+    async def _return_surplus(
+        self, workspace: str, account: WorkspaceAccount, surplus: int
+    ) -> None:
+        withdrawn = self.ledger.withdraw(workspace, surplus)
+        if withdrawn <= 0:
             return
-        for _ in range(_CONFLICT_LIMIT):
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             if not self._restorer.is_current(account):
                 break
             try:
-                written = await self._write(workspace, account, -taken)
+                written = await self._write(workspace, account, -withdrawn)
             except RowsUnavailableError:
-                self.ledger.add(workspace, taken)
+                self.ledger.add(workspace, withdrawn)
                 raise
             if written:
                 self._log.event(
                     "prepaid.returned",
                     workspace=workspace,
-                    tokens=taken,
+                    tokens=withdrawn,
                     free=self.ledger.free_tokens(workspace),
                     row_version=account.version,
                 )
                 return
-        self.ledger.add(workspace, taken)
+        self.ledger.add(workspace, withdrawn)
 
     async def _read(self, workspace: str, account: WorkspaceAccount) -> None:
         row = await self._store.read_row(RowKey(TABLE, workspace, ROW_NAME))
-        self._take_in(workspace, account, row)
+        self._apply_row(workspace, account, row)
 
-    def _take_in(self, workspace: str, account: WorkspaceAccount, row: StoredRow) -> None:
+    def _apply_row(self, workspace: str, account: WorkspaceAccount, row: StoredRow) -> None:
         if row.version >= account.version:
             stored = decode_account(row)
             limited = with_limit(stored, *account.limit)
@@ -726,11 +730,11 @@
         self._observe(workspace, account)
 
     def _observe(self, workspace: str, account: WorkspaceAccount) -> None:
-        self._note_contact()
-        self._show_limit(workspace, account)
+        self._on_store_reached()
+        self._update_ledger_view(workspace, account)
 
-    def _show_limit(self, workspace: str, account: WorkspaceAccount) -> None:
-        """Let the ledger see the row under the newest limit known."""
+    def _update_ledger_view(self, workspace: str, account: WorkspaceAccount) -> None:
+        """Update the ledger's view of the row under the newest limit known."""
         account.row = with_limit(account.row, *account.limit)
         held = account.row.granted_tokens.get(self._incarnation, 0)
         spent = taken_tokens(account.row) - held
@@ -740,12 +744,11 @@
         self.ledger.observe(workspace, view, self._reactor.seconds())
 
     async def _write(self, workspace: str, account: WorkspaceAccount, delta_tokens: int) -> bool:
-        """Write a changed grant; False after a conflict, with the row read anew.
+        """Write a changed grant; return False after a conflict, with the row read again.
 
-        False also where the store has come back meanwhile, before the row is in line with that.
-        After a lost answer the change is kept in ``unresolved``: one that adds
-        tokens is not spent, one that gives back is not taken again, until it
-        is known what became of it.
+        Also returns False if the store was restored from an older copy meanwhile and the row has
+        not been corrected yet. If the answer is lost, the change is kept in ``unresolved``:
+        until its outcome is known, added tokens are not spent and returned ones not reused.
         """
         if not self._restorer.is_current(account):
             return False
@@ -756,7 +759,7 @@
             version = await self._store.transact(VersionedTransaction((change,)))
         except VersionConflictError as conflict:
             if conflict.rows:
-                self._take_in(workspace, account, conflict.rows[0])
+                self._apply_row(workspace, account, conflict.rows[0])
             else:
                 await self._read(workspace, account)
             return False
@@ -769,17 +772,17 @@
             account.unfolded = None
         account.row = wanted
         account.version = version
-        self._tell_written(workspace, version, wanted)
+        self._announce_written(workspace, version, wanted)
         self._observe(workspace, account)
         return True
 
-    def _tell_written(self, workspace: str, version: int, row: AccountRow) -> None:
-        """Let the other routers know what a row says of which the store alone knows so far."""
+    def _announce_written(self, workspace: str, version: int, row: AccountRow) -> None:
+        """Announce the contents of a row just written to the other routers."""
         self.news.record_written(workspace, version, taken_tokens(row))
         self.on_written()
 
     def _changed_grant(self, row: AccountRow, delta_tokens: int, version: int) -> AccountRow:
-        """Return a row with the own grant changed, to be written in place of one with a version."""
+        """Return the account with the own grant changed, to replace the row of a given version."""
         changed = change_grant(row, self._incarnation, delta_tokens)
         return with_prior_version(changed, version, self._store.eras.known)
 
@@ -799,11 +802,11 @@
         return fold_predecessors(row, self._node, self._incarnation, bounds)
 
     async def _resolve(self, workspace: str, account: WorkspaceAccount) -> None:
-        """Learn what became of a write whose answer was lost.
+        """Determine the outcome of a write whose answer was lost.
 
-        The write may still take effect while its condition holds. So the same
-        condition is used for a write that changes nothing: once any write has
-        passed, the lost one is done or never will be, and the row tells which.
+        The write may still take effect as long as its condition holds. A write that changes
+        nothing is therefore sent under the same condition. Once either has succeeded, the lost
+        write was either applied or never will be, and the row shows which.
         """
         delta_tokens, wanted = account.unresolved
         expected = wanted.granted_tokens.get(self._incarnation, 0)
@@ -826,8 +829,8 @@
             self.ledger.add(workspace, delta_tokens)
         elif not took_effect and delta_tokens < 0:
             self.ledger.add(workspace, -delta_tokens)
-        self._take_in(workspace, account, row)
-        self._tell_written(workspace, row.version, stored)
+        self._apply_row(workspace, account, row)
+        self._announce_written(workspace, row.version, stored)
         self._log.event(
             "prepaid.resolved", workspace=workspace, tokens=delta_tokens, took_effect=took_effect
         )
@@ -843,25 +846,25 @@
     def lenders(self, lenders: LenderBase) -> None:
         self._borrower.lenders = lenders
 
-    def _loan_came(self, account: WorkspaceAccount) -> None:
+    def _on_loan(self, account: WorkspaceAccount) -> None:
         self._serve_waiters(account.workspace, account)
 
     @property
     def short(self) -> bool:
-        """Whether tokens may soon have to be borrowed."""
+        """Whether this router may soon have to borrow tokens."""
         now_s = self._reactor.seconds()
-        return self._lost_contact or any(
+        return self._store_unreachable or any(
             now_s < account.short_until_s for account in self._accounts.values()
         )
 
     def spare(self) -> list[LoanOffer]:
-        """Return what could be lent, most first."""
+        """Return the tokens that could be lent by workspace, largest first."""
         offers = [LoanOffer(name, self._lendable_tokens(name)) for name in self.ledger.budgets()]
         offers = [offer for offer in offers if offer.tokens >= self._loan_rule.min_offer_tokens]
         return sorted(offers, key=lambda offer: -offer.tokens)
 
     def lend(self, ask: LoanAsk) -> int:
-        """Give tokens to a peer; they count as spent here from now on."""
+        """Lend tokens to a peer; they count as spent here from now on."""
         tokens = min(max(0, ask.desired_tokens), self._lendable_tokens(ask.workspace))
         if tokens <= 0:
             return 0
@@ -889,36 +892,36 @@
         return max(spendable - int(demand * self._loan_rule.retained_s), spendable // 2)
 
     def _borrow(self, account: WorkspaceAccount) -> None:
-        """Ask peers for what waiting requests need, one loan at a time."""
+        """Borrow the tokens that waiting requests need, one loan at a time."""
         if account.borrowing:
             return
         done = defer.ensureDeferred(self._borrower.borrow(account))
-        done.addErrback(self._failed, account.workspace)
-        done.addBoth(lambda _: self._borrowing_ended(account.workspace, account))
+        done.addErrback(self._on_failure, account.workspace)
+        done.addBoth(lambda _: self._borrow_done(account.workspace, account))
 
-    def _borrowing_ended(self, workspace: str, account: WorkspaceAccount) -> None:
+    def _borrow_done(self, workspace: str, account: WorkspaceAccount) -> None:
         self._serve_waiters(workspace, account)
-        if self._lost_contact or self._store_has_too_little(account, workspace):
-            # Nobody else can help, and waiting would only make the refusal late.
+        if self._store_unreachable or self._store_is_short(account, workspace):
+            # No tokens can arrive from elsewhere while the requests wait.
             self._refuse_waiters(account, self._shortage(account))
         elif account.waiters:
-            self.work_on(workspace)
+            self.schedule_update(workspace)
 
     def _refuse_waiters(self, account: WorkspaceAccount, answer: BudgetRefusal) -> None:
         waiters, account.waiters = account.waiters, []
         for waiter in waiters:
-            waiter.deferred.callback(self._refused(account, waiter.tokens, answer))
+            waiter.deferred.callback(self._log_refusal(account, waiter.tokens, answer))
 
     def _shortage(self, account: WorkspaceAccount) -> BudgetRefusal:
-        return BudgetRefusal.UNREACHABLE if self._lost_contact else BudgetRefusal.EXHAUSTED
+        return BudgetRefusal.UNREACHABLE if self._store_unreachable else BudgetRefusal.EXHAUSTED
 
-    def _store_has_too_little(self, account: WorkspaceAccount, workspace: str) -> bool:
-        """Tell whether the store can't give what waiting requests need."""
+    def _store_is_short(self, account: WorkspaceAccount, workspace: str) -> bool:
+        """Tell whether the store can't grant the tokens that waiting requests need."""
         if account.row is None:
             return False
         waiting = account.waiting_tokens
-        short = waiting - max(0, self.ledger.free_tokens(workspace))
-        return max(0, account.end_reserve.available_tokens(account.row)) < short
+        shortfall = waiting - max(0, self.ledger.free_tokens(workspace))
+        return max(0, account.end_reserve.available_tokens(account.row)) < shortfall
 
     # Waiting requests.
 
@@ -928,29 +931,29 @@
             reservation = self._try_reserve(workspace, waiter.tokens, first_try=False)
             if reservation is not None:
                 waiter.deferred.callback(reservation)
-            elif not account.borrowing and self._has_no_hope(account, waiter):
-                answer = self._refused(account, waiter.tokens, BudgetRefusal.EXHAUSTED)
+            elif not account.borrowing and self._cannot_be_served(account, waiter):
+                answer = self._log_refusal(account, waiter.tokens, BudgetRefusal.EXHAUSTED)
                 waiter.deferred.callback(answer)
             else:
                 account.waiters.append(waiter)
 
-    def _give_up(self, workspace: str, waiter: WaitingRequest) -> None:
+    def _time_out(self, workspace: str, waiter: WaitingRequest) -> None:
         account = self._account(workspace)
         if waiter in account.waiters:
             account.waiters.remove(waiter)
-            answer = self._refused(account, waiter.tokens, BudgetRefusal.UNREACHABLE)
+            answer = self._log_refusal(account, waiter.tokens, BudgetRefusal.UNREACHABLE)
             waiter.deferred.callback(answer)
-            # Whoever comes before the store has answered is refused without this wait.
-            self._lose_contact()
+            # Until the store answers, further requests are refused without waiting.
+            self._mark_store_unreachable()
 
-    def _has_no_hope(self, account: WorkspaceAccount, waiter: WaitingRequest) -> bool:
-        """Tell whether a waiting request can get no tokens any more."""
+    def _cannot_be_served(self, account: WorkspaceAccount, waiter: WaitingRequest) -> bool:
+        """Tell whether a waiting request can no longer be served."""
         if waiter.from_reserve:
             return ungranted_tokens(account.row) < waiter.tokens
         return self._is_exhausted(account, account.workspace, waiter.tokens)
 
     def _is_exhausted(self, account: WorkspaceAccount, workspace: str, tokens: int) -> bool:
-        """Tell whether what is left, here, in the store and with peers, can't hold a request."""
+        """Tell whether the tokens here, in the store and lendable by peers don't suffice."""
         if account.row is None:
             return False
         free = max(0, self.ledger.free_tokens(workspace))
@@ -958,15 +961,15 @@
         return max(0, account.end_reserve.available_tokens(account.row)) + free + lendable < tokens
 
     def stop(self) -> None:
-        """Give back from now on what is not reserved, before a planned stop."""
+        """Return unreserved tokens from now on, before a planned stop."""
         self._stopping = True
         for workspace in self._accounts:
             if self._holders.all_routers_hold or self.ledger.free_tokens(workspace) > 0:
-                self.work_on(workspace)
+                self.schedule_update(workspace)
 
     @property
     def settled(self) -> bool:
-        """Whether nothing is left to give back."""
+        """Whether all unreserved tokens have been returned."""
         return not any(
             account.busy or self.ledger.free_tokens(workspace) > 0
             for workspace, account in self._accounts.items()
@@ -975,9 +978,9 @@
     def _account(self, workspace: str) -> WorkspaceAccount:
         account = self._accounts.get(workspace)
         if account is None:
-            reserve = EndReserve(self._end_rule, f"{self._incarnation}/{workspace}")
+            reserve = EndReserve(self._end_reserve_rule, f"{self._incarnation}/{workspace}")
             account = self._accounts[workspace] = WorkspaceAccount(workspace, reserve)
-            # Nothing is taken ahead of demand before it is known who holds what.
+            # No tokens are taken ahead of demand until the holders are known.
             self.ledger.set_prefetch(workspace, False)
             self._holds(workspace)
         return account
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -250,7 +250,7 @@
         elif name == "time":
             self.clock.advance(action[2])
             for router in self.routers:
-                router.look()
+                router.run_maintenance()
         self.check()
 
     def calm(self, seconds):
@@ -535,7 +535,7 @@
         while world.stores[0].decide("done"):
             pass
         world.clock.advance(0.05)
-        world.routers[0].look()
+        world.routers[0].run_maintenance()
 
 
 def test_request_much_larger_than_the_demand_is_served_when_the_store_is_unreachable():
@@ -567,7 +567,7 @@
             reads += world.stores[0].pending[0][0] == "read"
             world.stores[0].decide("done")
         world.clock.advance(0.05)
-        accounts.look()
+        accounts.run_maintenance()
     return reads
 
 
@@ -656,7 +656,7 @@
     router = world.routers[0]
     world.clock.advance(ALL_S)
     held = router.ledger.free_tokens("acme")
-    router.look()
+    router.run_maintenance()
     while world.stores[0].decide("refused"):
         pass
     # What a peer can lend serves urgent requests as well; here none can.
@@ -737,9 +737,9 @@
 
 def lose_store(world, index):
     """Let a router learn that the store is not reached."""
-    world.routers[index].work_on("acme")
+    world.routers[index].schedule_update("acme")
     world.routers[index]._account("acme").row = None
-    world.routers[index].work_on("acme")
+    world.routers[index].schedule_update("acme")
     world.routers[index]._pause()
 
 
--- a/turnward/gateway/workspace_account.py
+++ b/turnward/gateway/workspace_account.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one router knows of one workspace's prepaid tokens."""
+"""One router's state of one workspace's prepaid tokens."""
 
 from twisted.internet import defer
 
@@ -15,11 +15,11 @@
     Attributes
     ----------
     tokens : int
-        What it needs at its most.
+        Most tokens that it may use.
     from_reserve : bool
-        Whether it is served out of what is kept for the end of the limit.
+        Whether it is served from the end reserve.
     deferred : Deferred
-        Fires with a reservation or with why there is none.
+        Fires with a ``Reservation`` or a ``BudgetRefusal``.
     """
 
     __slots__ = ("deferred", "from_reserve", "tokens")
@@ -31,35 +31,38 @@
 
 
 class WorkspaceAccount:
-    """One workspace's row as last seen, and what is under way for it.
+    """One workspace's row as last read, and the operations in progress on it.
 
     Attributes
     ----------
+    workspace : str
+        The workspace's name.
     row : AccountRow or None
-        As last seen, with ended processes' grants folded.
+        The row as last read, with the grants of earlier incarnations folded.
     unfolded : AccountRow or None
-        The row as stored, while ``row`` leaves out ended processes' grants.
+        The row without that fold, until the fold is written; else None.
     version : RowVersion
-        The row's version; 0 while it is not there.
+        The row's version; 0 if there is no row.
     era : int
-        The store's era in which the row is known to say what is held here; below 0 for none.
+        The store's era in which the row is known to record the tokens held here; negative if
+        there is none.
     limit : tuple of int
-        Tokens, and the version of the configuration that says so.
+        Tokens, and the version of the configuration that sets them.
     end_reserve : EndReserve
-        What is kept for the end of the limit.
-    busy, borrowing, handing_back : bool
-        Whether the row is being worked on, a loan is asked for, or tokens are on their
-        way to a holder.
+        The reserve at the end of the limit.
+    busy, borrowing, returning : bool
+        Whether the grant is being updated, a loan is being requested, or tokens are being
+        returned to a holder.
     free_at_last_contact : int
-        Tokens that were free when the store was last reached.
+        Free tokens when the store was last reached.
     borrowed_tokens : int
-        All that peers ever lent here; spent without a grant of the own.
+        Total of the tokens that peers have lent here or returned; not covered by the own grant.
     short_until_s : float
-        Until when the shortage is told to peers.
+        Time until which the shortage is announced to peers.
     waiters : list of WaitingRequest
         Requests that wait for tokens.
     unresolved : tuple or None
-        A change whose answer was lost: its tokens, and the row it would make.
+        A change whose answer was lost: its tokens, and the account it would have written.
     """
 
     __slots__ = (
@@ -69,7 +72,7 @@
         "end_reserve",
         "era",
         "free_at_last_contact",
-        "handing_back",
+        "returning",
         "limit",
         "row",
         "short_until_s",
@@ -92,17 +95,17 @@
         self.free_at_last_contact = 0
         self.borrowed_tokens = 0
         self.borrowing = False
-        self.handing_back = False
+        self.returning = False
         self.short_until_s = 0.0
         self.waiters: list[WaitingRequest] = []
         self.unresolved: tuple[int, AccountRow] | None = None
 
     @property
     def waiting_tokens(self) -> int:
-        """What all waiting requests need together."""
+        """Tokens needed by all waiting requests together."""
         return sum(waiter.tokens for waiter in self.waiters)
 
     @property
     def all_from_reserve(self) -> bool:
-        """Whether all that wait are served out of what is kept for the end."""
+        """Whether requests are waiting and all of them are served from the end reserve."""
         return bool(self.waiters) and all(waiter.from_reserve for waiter in self.waiters)
