--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -3,7 +3,7 @@
 
 from turnward.gateway.abandoned_runs import AbandonedRun
 from turnward.gateway.endpoint_record import EndpointRecord
-from turnward.gateway.outcomes import PROMISES_NOT_RUN, Reason
+from turnward.gateway.outcomes import NOT_RUN_STATUSES, Reason
 from turnward.gateway.streams import EventSplitter
 from turnward.http1 import (
     AnswerMatch,
@@ -196,7 +196,7 @@
     def _is_genuine(self, status: int, headers: HeaderList, sealed: bool) -> bool:
         if not sealed:
             return False
-        if status in PROMISES_NOT_RUN and self._owner.must_run_once:
+        if status in NOT_RUN_STATUSES and self._owner.must_run_once:
             # Passed on, it would promise what the endpoint did not say.
             return False
         if self._owner.head_sent and status != 200:
@@ -209,7 +209,7 @@
         if not gone:
             forwarder = self._owner.forwarder
             spread = forwarder.draw.uniform(0.8, 1.2)
-            self.record.availability.turned_away(forwarder.reactor.seconds(), spread)
+            self.record.availability.rejected(forwarder.reactor.seconds(), spread)
         self._drop()
         reason = Reason.NO_ENDPOINT if gone else Reason.ENDPOINTS_FULL
         self._owner.attempt_not_run(self, status, reason)
@@ -241,7 +241,7 @@
     def _note_pace(self, count: int) -> None:
         now_s = self._owner.forwarder.reactor.seconds()
         if self._event_s is not None:
-            self.record.pace.note((now_s - self._event_s) * 1_000 / count, now_s)
+            self.record.gap_tracker.note((now_s - self._event_s) * 1_000 / count, now_s)
         self._event_s = now_s
 
     def _declared_length(self) -> int | None:
@@ -294,7 +294,7 @@
         if failed:
             # Another process has the address: that is certain.
             if gone:
-                self.record.availability.note_gone(self._owner.forwarder.reactor.seconds())
+                self.record.availability.mark_replaced(self._owner.forwarder.reactor.seconds())
             self._note_failure(certain=gone)
         elif self.record.availability.succeeded():
             self._owner.forwarder.log.belief(
@@ -315,7 +315,7 @@
                 endpoint=record.incarnation,
                 failures=availability.failures,
                 unreachable=certain,
-                rest_s=round(availability.doubted_for_s(now_s), 3),
+                rest_s=round(availability.suspected_for_s(now_s), 3),
             )
 
     def _opened(self) -> None:
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -14,7 +14,7 @@
 from turnward.gateway.configuration import WarmUpTraits
 from turnward.gateway.dialect import Dialect
 from turnward.gateway.end_reserve import EndReserveRule
-from turnward.gateway.endpoint_news import EndpointNews
+from turnward.gateway.endpoint_reporter import EndpointReporter
 from turnward.gateway.feeds import (
     FeedListenerBase,
     FeedPaceBase,
@@ -38,7 +38,7 @@
 from turnward.gateway.quarantine_rows import QuarantineRows
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.refused_rows import RefusedRow
-from turnward.gateway.retries import RepeatRule
+from turnward.gateway.retries import RetryBudgetRule
 from turnward.gateway.settings import GatewaySettings
 from turnward.gateway.sources import MembersListener
 from turnward.gateway.state import FleetState
@@ -113,7 +113,7 @@
         weighs_pace=mechanisms.weighs_pace,
     )
     if not mechanisms.agreed_homes:
-        rule = msgspec.structs.replace(rule, homes=0)
+        rule = msgspec.structs.replace(rule, preferred_endpoints=0)
     if not mechanisms.zone_cost:
         rule = msgspec.structs.replace(rule, zone_cost_ms=0.0)
     return rule
@@ -199,12 +199,12 @@
             dialect,
             self._limits,
         )
-        news = EndpointNews(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
+        news = EndpointReporter(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
         self._word_news = news.words
-        self._limits.on_told = news.note_told_limit
-        self.endpoints.on_pace_class = news.note_pace_class
-        self.endpoints.on_word = news.note_word
-        self.endpoints.on_rate_limit = news.note_rate_limit
+        self._limits.on_peer_limit = news.report_peer_rate_limit
+        self.endpoints.on_speed_class = news.report_speed_class
+        self.endpoints.on_feedback = news.report_feedback
+        self.endpoints.on_rate_limit = news.report_rate_limit
         self.holders = RendezvousHolders(self.book, reactor.seconds, settings.budget_holders)
         self.accounts = PrepaidAccounts(
             reactor,
@@ -324,9 +324,11 @@
 
     def _make_forwarder(self) -> Forwarder:
         settings = self._settings
-        repeats = RepeatRule(settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack)
+        repeats = RetryBudgetRule(
+            settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack
+        )
         if not settings.mechanisms.repeats:
-            repeats = RepeatRule(0.0, settings.repeat_window_s, 0.0)
+            repeats = RetryBudgetRule(0.0, settings.repeat_window_s, 0.0)
         admission = AdmissionRule() if settings.mechanisms.admission else AdmissionRule(shares=())
         rules = ForwardingRules(
             repeats=repeats,
@@ -466,7 +468,7 @@
             request.answer(404, [])
             return
         metrics = self._metrics
-        metrics.open_requests.set(len(self.forwarder.open))
+        metrics.open_requests.set(len(self.forwarder.open_requests))
         metrics.lines_left_out.inc(self._log.take_left_out())
         metrics.peers_live.set(self.peers.overlay.live_routers - 1)
         metrics.configuration_version.set(self.state.configuration_version)
@@ -563,7 +565,9 @@
         now_s = self._reactor.seconds()
         if self.state.unconfirmed_for_s() > _CONTACT_LOST_S:
             self._contact_since_s = now_s
-        self.quarantine.note_standing(self.endpoints.standing(), self._contact_since_s)
+        self.quarantine.note_standing(
+            self.endpoints.incarnations_with_entry(), self._contact_since_s
+        )
         self.endpoints.drop_lapsed()
         for record in self.endpoints.all():
             record.pool.trim(now_s)
@@ -575,7 +579,7 @@
         self._log.event(
             "process.figures",
             store_calls=self._metrics.calls_by_kind(),
-            open_requests=len(self.forwarder.open),
+            open_requests=len(self.forwarder.open_requests),
             members=self.book.most_live,
             live=overlay.live_routers,
             tells_others=overlay.tells_others,
@@ -605,7 +609,7 @@
         self.peers.stopping = True
         self.callers.draining = True
         self.accounts.stop()
-        self._log.event("process.stopping", open_requests=len(self.forwarder.open))
+        self._log.event("process.stopping", open_requests=len(self.forwarder.open_requests))
         self._stop_began_s = self._reactor.seconds()
         self._waiting_for_end = self._repeat(self._look_for_end, _LOOK_FOR_END_S)
 
@@ -614,14 +618,14 @@
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
         busy = any(not connection.idle for connection in self.callers.connections)
         if elapsed_s >= _LINGER_S:
-            self.forwarder.refusing = True
+            self.forwarder.refuses_new_requests = True
             self.callers.close_idle()
-        pending = busy or self.forwarder.open or not self.accounts.settled
+        pending = busy or self.forwarder.open_requests or not self.accounts.settled
         if elapsed_s < limit_s and (pending or elapsed_s < _LINGER_S):
             return
         self._waiting_for_end.stop()
-        for forwarding in list(self.forwarder.open):
-            forwarding.stop_now()
+        for forwarding in list(self.forwarder.open_requests):
+            forwarding.end_at_stop()
         for feed in self._feeds:
             feed.stop()
         if not self.accounts.settled:
--- a/turnward/gateway/tests/test_word_news.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -4,9 +4,9 @@
 import msgspec
 import pytest
 
-from turnward.gateway.tests.rig import DIALECT, Rig, answer_head, well
-from turnward.gateway.tests.word_plays import WordPlay
-from turnward.gateway.word_news import ToldWord, WordNews
+from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
+from turnward.gateway.tests.feedback_simulation import WordPlay
+from turnward.gateway.tests.harness import DIALECT, Harness, answer_head, answer_ok
 
 #: Seconds in which word is with all routers.
 KNOWN_S = 1.0
@@ -18,7 +18,9 @@
     def __init__(self, count):
         self.now_s = 0.0
         self.told = []
-        self.routers = [WordNews(lambda: self.now_s, self.told.append) for _ in range(count)]
+        self.routers = [
+            FeedbackExchange(lambda: self.now_s, self.told.append) for _ in range(count)
+        ]
 
     def run(self, seconds):
         for _ in range(round(seconds * 4)):
@@ -31,9 +33,9 @@
 
 
 @pytest.mark.parametrize("rest_s", [0.0, 2.0])
-def test_news_reaches_all_once_and_dies_out(rest_s):
+def test_update_reaches_all_routers_once_and_expires(rest_s):
     fleet = Fleet(5)
-    fleet.routers[0].note("e", leaves=not rest_s, rest_s=rest_s)
+    fleet.routers[0].note("e", draining=not rest_s, rest_s=rest_s)
     fleet.run(0.5)
     assert len(fleet.told) == 4
     fleet.run(30.0)
@@ -41,15 +43,15 @@
     assert not any(router.words() for router in fleet.routers)
 
 
-def test_longer_rest_and_leaving_after_a_rest_are_news():
+def test_longer_backoff_and_draining_are_new_updates():
     fleet = Fleet(2)
-    fleet.routers[0].note("e", leaves=False, rest_s=2.0)
+    fleet.routers[0].note("e", draining=False, rest_s=2.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", leaves=False, rest_s=4.0)
+    fleet.routers[0].note("e", draining=False, rest_s=4.0)
     fleet.run(0.5)
-    fleet.routers[0].note("e", leaves=True, rest_s=0.0)
+    fleet.routers[0].note("e", draining=True, rest_s=0.0)
     fleet.run(0.5)
-    assert [(word.leaves, word.rest_left_ms > 0) for word in fleet.told] == [
+    assert [(word.draining, word.rest_left_ms > 0) for word in fleet.told] == [
         (False, True),
         (False, True),
         (True, True),
@@ -59,7 +61,7 @@
 def test_message_is_bounded():
     fleet = Fleet(1)
     for number in range(2_000):
-        fleet.routers[0].note(f"endpoint-{number}@1791507413292", leaves=True, rest_s=0.0)
+        fleet.routers[0].note(f"endpoint-{number}@1791507413292", draining=True, rest_s=0.0)
     words = fleet.routers[0].words()
     assert len(words) == 32
     assert len(msgspec.msgpack.encode(words)) < 1_300
@@ -67,39 +69,39 @@
 
 
 @pytest.mark.parametrize("size", [3, 7, 24])
-def test_other_routers_spare_an_endpoint_that_wants_rest(size):
+def test_other_routers_avoid_an_endpoint_in_backoff(size):
     play = WordPlay(gateways=size, endpoints=6)
     resting = play.endpoints[0]
     resting.rest_s = 5.0
     while not resting.sends:
         play.ask_for(0.1, pause_s=0.02)
-    play.rig.network.advance(KNOWN_S)
+    play.harness.network.advance(KNOWN_S)
     sends = len(resting.sends)
     play.ask_for(2.0, pause_s=0.02)
     assert len(resting.sends) == sends
     assert set(play.statuses()) == {200}
 
 
-def test_word_to_another_router_never_binds():
-    rig = Rig()
+def test_peer_feedback_never_excludes_an_endpoint():
+    harness = Harness()
 
-    def leaving(endpoint, request):
-        request.answer(200, [*answer_head(request), (DIALECT.leaving, b"1")], b"fine")
+    def draining(endpoint, request):
+        request.answer(200, [*answer_head(request), (DIALECT.draining, b"1")], b"fine")
 
-    endpoint = rig.endpoint(leaving)
-    rig.ready(2)
-    rig.network.advance(0.5)
-    assert rig.ask(0).status == 200
-    rig.network.advance(KNOWN_S)
-    assert rig.logs[1].of("endpoint.told_of")[0]["leaves"]
-    endpoint.behave = well
-    assert rig.ask(0).status == 503
-    assert rig.ask(1).status == 200
+    endpoint = harness.endpoint(draining)
+    harness.ready(2)
+    harness.network.advance(0.5)
+    assert harness.ask(0).status == 200
+    harness.network.advance(KNOWN_S)
+    assert harness.logs[1].with_event("endpoint.told_of")[0]["leaves"]
+    endpoint.behave = answer_ok
+    assert harness.ask(0).status == 503
+    assert harness.ask(1).status == 200
 
 
-def test_word_on_an_endpoint_that_is_not_known_changes_nothing():
-    rig = Rig()
-    rig.endpoint(well)
-    rig.ready()
-    rig.gateways[0]._word_news.take_in([ToldWord("nobody@1", True, 5_000)])
-    assert rig.ask().status == 200
+def test_feedback_on_an_unknown_endpoint_is_ignored():
+    harness = Harness()
+    harness.endpoint(answer_ok)
+    harness.ready()
+    harness.gateways[0]._word_news.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
+    assert harness.ask().status == 200
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -9,125 +9,125 @@
 
 from turnward.gateway import Configuration, EndpointPool, FleetState, WarmUpTraits
 from turnward.gateway.sources import ConfigurationListener
-from turnward.gateway.tests.rig import Rig, reset, stream, well
+from turnward.gateway.tests.harness import Harness, abort_connection, answer_ok, stream_events
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 from turnward.rows import RowKey, StoredRow, TableChanges
 
 TABLE = "configuration"
 
 
-def order(rig, zone, drained=True):
+def order(harness, zone, drained=True):
     """Give or take back an order."""
     if drained:
-        rig.rows.put(TABLE, f"drained/{zone}", b"{}")
+        harness.rows.put(TABLE, f"drained/{zone}", b"{}")
     else:
-        rig.rows.remove(TABLE, f"drained/{zone}")
+        harness.rows.remove(TABLE, f"drained/{zone}")
 
 
-def two_zones(rig, behave=well):
+def two_zones(harness, behave=answer_ok):
     """Return an endpoint in each of two zones."""
     pair = []
     for zone in ("north", "south"):
-        endpoint = rig.endpoint(behave, announce=False)
-        rig.announce(endpoint, zone=zone)
+        endpoint = harness.endpoint(behave, announce=False)
+        harness.announce(endpoint, zone=zone)
         pair.append(endpoint)
     return pair
 
 
-def served_by(rig, endpoint, gateways=(0,), count=10):
+def served_by(harness, endpoint, gateways=(0,), count=10):
     """Return how many of some requests an endpoint gets."""
     before = len(endpoint.requests)
     for number in range(count):
-        assert rig.ask(gateways[number % len(gateways)]).status == 200
+        assert harness.ask(gateways[number % len(gateways)]).status == 200
     return len(endpoint.requests) - before
 
 
-def test_drained_zone_gets_nothing_until_the_order_is_taken_back():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready()
-    assert served_by(rig, north)
-    order(rig, "north")
-    rig.network.advance(0.5)
-    assert not served_by(rig, north)
-    order(rig, "north", drained=False)
-    rig.network.advance(0.5)
-    assert served_by(rig, north)
+def test_drained_zone_gets_nothing_until_the_order_is_withdrawn():
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready()
+    assert served_by(harness, north)
+    order(harness, "north")
+    harness.network.advance(0.5)
+    assert not served_by(harness, north)
+    order(harness, "north", drained=False)
+    harness.network.advance(0.5)
+    assert served_by(harness, north)
 
 
 def test_request_is_refused_as_not_run_when_all_zones_are_drained():
-    rig = Rig()
-    two_zones(rig)
-    rig.ready()
-    order(rig, "north")
-    order(rig, "south")
-    rig.network.advance(0.5)
-    refused = rig.ask()
+    harness = Harness()
+    two_zones(harness)
+    harness.ready()
+    order(harness, "north")
+    order(harness, "south")
+    harness.network.advance(0.5)
+    refused = harness.ask()
     assert refused.status == 503
     assert refused.header(b"retry-after")
 
 
-def test_repeats_and_resumed_streams_keep_away_too():
-    rig = Rig(repeat="stream", resumable=True)
-    north, south = two_zones(rig, stream(4, upto=2, then=reset))
-    rig.ready()
-    order(rig, "north")
-    rig.network.advance(0.5)
+def test_retries_and_resumed_streams_avoid_a_drained_zone():
+    harness = Harness(repeat="stream", resumable=True)
+    north, south = two_zones(harness, stream_events(4, up_to=2, then=abort_connection))
+    harness.ready()
+    order(harness, "north")
+    harness.network.advance(0.5)
     for _ in range(4):
-        rig.ask()
+        harness.ask()
     assert south.requests
     assert not north.requests
 
 
-def test_endpoints_of_a_zone_taken_back_count_as_cold():
-    rig = Rig(
+def test_endpoints_of_a_restored_zone_count_as_cold():
+    harness = Harness(
         pools=[EndpointPool(name="pool", warm_up=WarmUpTraits(cold_s=2.0, requests_per_s=1.0))]
     )
-    north, _ = two_zones(rig)
-    rig.ready()
-    rig.network.advance(1.0)
-    order(rig, "north")
-    rig.network.advance(0.5)
-    order(rig, "north", drained=False)
-    rig.network.advance(0.1)
-    assert served_by(rig, north) <= 1
-    rig.network.advance(4.0)
-    assert served_by(rig, north)
-
-
-def test_order_outlives_a_restart_and_an_outage():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready()
-    order(rig, "north")
-    rig.network.advance(0.5)
-    rig.clients[0].faults.away = True
-    rig.network.advance(10.0)
-    assert not served_by(rig, north)
-    rig.clients[0].faults.away = False
-    rig.network.advance(3.0)
-    rig.machines[0].kill()
-    rig.machines[0].restart()
-    rig.gateways[0] = rig.run_gateway(rig.machines[0], "node-1")
-    assert rig.network.advance_until(lambda: rig.gateways[0].ready)
-    assert not served_by(rig, north)
-
-
-def test_router_that_the_store_turns_away_learns_of_orders_from_others():
-    rig = Rig()
-    north, _ = two_zones(rig)
-    rig.ready(gateways=3)
-    rig.network.advance(1.0)
-    rig.clients[2].faults.away = True
-    order(rig, "north")
-    rig.network.advance(1.0)
-    assert not served_by(rig, north, gateways=(2,))
-    order(rig, "north", drained=False)
-    rig.network.advance(1.0)
-    assert served_by(rig, north, gateways=(2,))
-
-
-def test_starting_router_that_knows_no_orders_takes_nothing():
+    north, _ = two_zones(harness)
+    harness.ready()
+    harness.network.advance(1.0)
+    order(harness, "north")
+    harness.network.advance(0.5)
+    order(harness, "north", drained=False)
+    harness.network.advance(0.1)
+    assert served_by(harness, north) <= 1
+    harness.network.advance(4.0)
+    assert served_by(harness, north)
+
+
+def test_order_survives_a_router_restart_and_a_store_outage():
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready()
+    order(harness, "north")
+    harness.network.advance(0.5)
+    harness.clients[0].faults.away = True
+    harness.network.advance(10.0)
+    assert not served_by(harness, north)
+    harness.clients[0].faults.away = False
+    harness.network.advance(3.0)
+    harness.machines[0].kill()
+    harness.machines[0].restart()
+    harness.gateways[0] = harness.run_gateway(harness.machines[0], "node-1")
+    assert harness.network.advance_until(lambda: harness.gateways[0].ready)
+    assert not served_by(harness, north)
+
+
+def test_router_cut_off_from_the_store_gets_orders_from_peers():
+    harness = Harness()
+    north, _ = two_zones(harness)
+    harness.ready(gateways=3)
+    harness.network.advance(1.0)
+    harness.clients[2].faults.away = True
+    order(harness, "north")
+    harness.network.advance(1.0)
+    assert not served_by(harness, north, gateways=(2,))
+    order(harness, "north", drained=False)
+    harness.network.advance(1.0)
+    assert served_by(harness, north, gateways=(2,))
+
+
+def test_starting_router_is_incomplete_until_orders_are_known():
     state = FleetState(lambda: 0.0)
     state.adopt_configuration(Configuration(version=1), "peer")
     state.endpoints_version = 3
@@ -151,7 +151,7 @@
     return StoredRow(RowKey(TABLE, "", f"drained/{zone}"), value, version, gone)
 
 
-def test_order_that_ended_in_lost_history_ends_with_the_next_whole_read():
+def test_order_missing_from_a_full_read_has_ended():
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4), row("south", 5)), 6))
     feed.table_read(TableChanges((row("south", 5),), 9))
@@ -161,20 +161,20 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[", b"nonsense"])
-def test_row_is_an_order_whatever_its_value_says(value):
+def test_row_is_an_order_whatever_its_value(value):
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4, value=value),), 6))
     assert state.zone_orders.drained == {"north"}
 
 
-def test_order_without_a_zone_is_told_and_harms_nothing():
+def test_order_without_a_zone_is_reported_and_ignored():
     state, told, feed = listener()
     feed.table_read(TableChanges((row("", 4), row("north", 5)), 6))
     assert told == ["drained/"]
     assert state.zone_orders.drained == {"north"}
 
 
-def test_order_given_again_in_the_answer_that_ends_it_stands():
+def test_order_reissued_in_the_same_answer_stands():
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4),), 6))
     feed.rows_changed(TableChanges((row("north", 0, gone=True), row("north", 9)), 9))
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_words_may_come_in_any_order_and_more_than_once(seed):
+def test_orders_merge_in_any_sequence_and_repeatedly(seed):
     draw = random.Random(seed)
     words = [
         ZoneOrder(draw.choice("abc"), version, draw.random() < 0.5)
@@ -195,13 +195,13 @@
     for ordering in itertools.islice(itertools.permutations(words), 0, 720, 37):
         orders = ZoneOrders()
         for word in (*ordering, *draw.sample(words, 3)):
-            orders.take_in([word])
+            orders.merge([word])
         assert orders.drained == expected
 
 
-def test_orders_that_stand_are_never_forgotten():
+def test_standing_orders_are_never_evicted():
     orders = ZoneOrders()
-    orders.take_in(ZoneOrder(f"old-{number}", number, False) for number in range(200))
-    orders.take_in(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
+    orders.merge(ZoneOrder(f"old-{number}", number, False) for number in range(200))
+    orders.merge(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
     assert len(orders.drained) == 40
     assert len(orders.all()) <= 64
