--- a/turnward/gateway/tests/test_end_reserve.py
+++ b/turnward/gateway/tests/test_end_reserve.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The last part of a limit goes to a few small requests, and never beyond the limit."""
+"""The end reserve serves a few small requests, and never exceeds the limit."""
 
 import pytest
 
@@ -14,15 +14,15 @@
 
 
 def spend(reserve, tokens, seconds, used=9_000, from_s=100.0):
-    """Ask for tokens twice a second; return when requests were let through."""
-    served_s = []
+    """Request tokens twice a second; return the times at which requests were admitted."""
+    admitted_s = []
     for step in range(int(seconds * 2)):
         now_s = from_s + step / 2
         row = AccountRow(limit_tokens=10_000, ended_tokens=used)
         if reserve.admit_request(row, tokens, now_s):
             used += tokens
-            served_s.append(now_s - from_s)
-    return served_s
+            admitted_s.append(now_s - from_s)
+    return admitted_s
 
 
 def test_reserve_is_not_available_to_ordinary_requests():
@@ -38,15 +38,15 @@
 
 
 def test_reserve_is_released_evenly_over_the_release_time():
-    served_s = spend(EndReserve(RULE, "x"), 100, 60)
-    assert len(served_s) == 10
-    assert served_s[-1] >= 30
-    gaps_s = [after - before for before, after in zip(served_s, served_s[1:], strict=False)]
+    admitted_s = spend(EndReserve(RULE, "x"), 100, 60)
+    assert len(admitted_s) == 10
+    assert admitted_s[-1] >= 30
+    gaps_s = [after - before for before, after in zip(admitted_s, admitted_s[1:], strict=False)]
     assert max(gaps_s) - min(gaps_s) <= 1.0
 
 
 def test_reserve_of_a_small_limit_still_serves_a_usual_request():
-    """A bound on the size as part of the reserve let nobody have its 1,800 tokens."""
+    """A maximum request size relative to the reserve would leave its 1,800 tokens unused."""
     reserve = EndReserve(EndReserveRule(share=0.012), "x")
     row = AccountRow(limit_tokens=150_000, ended_tokens=148_200)
     assert not reserve.admit_request(row, 900, 0.0)
@@ -54,9 +54,9 @@
 
 
 def test_partly_used_reserve_lasts_the_full_release_time():
-    served_s = spend(EndReserve(RULE, "x"), 100, 60, used=9_500)
-    assert len(served_s) == 5
-    assert served_s[-1] >= 28
+    admitted_s = spend(EndReserve(RULE, "x"), 100, 60, used=9_500)
+    assert len(admitted_s) == 5
+    assert admitted_s[-1] >= 28
 
 
 def test_raised_limit_restarts_the_release():
@@ -86,14 +86,14 @@
 
 @pytest.mark.parametrize("seed", range(120))
 def test_random_schedules_with_a_reserve_keep_the_limit(seed):
-    world = PrepaidSimulation(end_reserve_rule=EndReserveRule(share=0.3, release_s=3.0))
+    simulation = PrepaidSimulation(end_reserve_rule=EndReserveRule(share=0.3, release_s=3.0))
     for action in random_schedule(seed):
-        # Each step checks what is spent against the limit.
-        world.step(action)
+        # Each step checks the spending against the limit.
+        simulation.step(action)
 
 
-def ask_until_dry(reserve_share, small=20, large=2_000):
-    """Return how many small requests are served after large ones have used all up."""
+def small_requests_after_exhaustion(reserve_share, small=20, large=2_000):
+    """Return how many small requests are served after large ones have exhausted the limit."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=20_000)
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), priority=0)
     harness.budget_reserve_share = reserve_share
@@ -118,5 +118,5 @@
 
 
 def test_exhausted_workspace_still_serves_a_few_small_requests():
-    assert ask_until_dry(0.0) == 0
-    assert ask_until_dry(0.1) >= 3
+    assert small_requests_after_exhaustion(0.0) == 0
+    assert small_requests_after_exhaustion(0.1) >= 3
