--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""No schedule of losses, late writes and deaths lets routers spend more than is prepaid.
+"""Crashes, lost answers and delayed writes never let routers spend more than is prepaid.
 
-The schedules run the real accounts of two routers over a store whose calls
-wait until the schedule says what becomes of them.
+The schedules run the accounts of two routers with a store whose calls wait until the schedule
+decides their outcome.
 """
 
 import contextlib
@@ -47,16 +47,16 @@
 )
 LOANS = LoanRule(min_offer_tokens=1)
 LIMIT = 60
-PROMISES = SpendBoundRule(
+BOUND_RULE = SpendBoundRule(
     burst_s=0.2, burst_tokens=2, rate_factor=0.5, relax_after_s=2.0, spend_all_s=10.0
 )
-#: Seconds after which promises let all that is held be spent.
-ALL_S = PROMISES.relax_after_s + PROMISES.spend_all_s
-KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
+#: Seconds after a report from which the spend bound allows all held tokens to be spent.
+SPEND_ALL_S = BOUND_RULE.relax_after_s + BOUND_RULE.spend_all_s
+ROW_KEY = RowKey(TABLE, "acme", ROW_NAME)
 
 
 class SteppedStore(VersionedStoreBase):
-    """Calls wait in ``pending`` until the schedule decides."""
+    """Store whose calls wait in ``pending`` until the schedule decides their outcome."""
 
     def __init__(self, rows):
         self.rows = rows
@@ -85,7 +85,7 @@
         raise NotImplementedError
 
     def decide(self, outcome):
-        """Let the oldest call end with an outcome; False when there is none."""
+        """End the oldest call with an outcome; return False if there is none."""
         if not self.pending:
             return False
         kind, payload, decided = self.pending.pop(0)
@@ -120,8 +120,8 @@
         else:
             decided.callback(version)
 
-    def land(self):
-        """Let the oldest late write arrive; it is done if its condition still holds."""
+    def deliver_late_write(self):
+        """Deliver the oldest delayed write; it is applied if its condition still holds."""
         if not self.late:
             return False
         transaction = self.late.pop(0)
@@ -131,16 +131,16 @@
 
 
 class SteppedLenders(LenderBase):
-    """The other router as the one lender; asks wait until the schedule decides."""
+    """The other router as the only lender; requests wait until the schedule decides."""
 
-    def __init__(self, world, index):
-        self.world = world
+    def __init__(self, simulation, index):
+        self.simulation = simulation
         self.index = index
         self.pending = []
 
     @property
     def other(self):
-        return self.world.routers[1 - self.index]
+        return self.simulation.routers[1 - self.index]
 
     def spare(self, workspace):
         if self.other is None:
@@ -154,7 +154,7 @@
         return await decided
 
     def decide(self, outcome):
-        """Let the oldest ask end: ``done``, ``lost`` (lent, never heard of) or ``refused``."""
+        """End the oldest request: ``done``, ``lost`` (lent, but unanswered) or ``refused``."""
         if not self.pending:
             return
         ask, decided = self.pending.pop(0)
@@ -163,7 +163,7 @@
 
 
 class PrepaidSimulation:
-    """Two routers that spend one workspace's tokens."""
+    """Simulation of two routers that spend one workspace's tokens."""
 
     store_type = SteppedStore
 
@@ -185,14 +185,14 @@
             self.start(index)
 
     def start(self, index):
-        """Start a router, or another incarnation of a dead one."""
+        """Start a router, or the next incarnation of a crashed one."""
         self.starts += 1
-        old = self.stores[index]
+        previous = self.stores[index]
         self.stores[index] = self.store_type(self.rows)
-        if old is not None:
-            # What the dead one had sent may still arrive.
-            writes = [payload for kind, payload, _ in old.pending if kind == "write"]
-            self.stores[index].late = old.late + writes
+        if previous is not None:
+            # Writes sent by the previous incarnation may still arrive.
+            writes = [payload for kind, payload, _ in previous.pending if kind == "write"]
+            self.stores[index].late = previous.late + writes
         self.routers[index] = self.accounts_type(
             self.clock,
             self.stores[index],
@@ -201,12 +201,12 @@
             RULE,
             ListLog(),
             lambda: 2,
-            PROMISES,
+            BOUND_RULE,
             LOANS,
             self.end_reserve_rule,
         )
-        if old is not None:
-            # Loans that the dead one had asked for may still be given, to nobody.
+        if previous is not None:
+            # Loans requested by the previous incarnation may still be granted, and are lost.
             for ask, _ in self.lenders[index].pending:
                 self.routers[1 - index].lend(ask)
         self.lenders[index] = self.routers[index].lenders = SteppedLenders(self, index)
@@ -238,7 +238,7 @@
         elif name == "decide":
             self.stores[index].decide(action[2])
         elif name == "land":
-            self.stores[index].land()
+            self.stores[index].deliver_late_write()
         elif name == "loan":
             self.lenders[index].decide(action[2])
         elif name == "kill":
@@ -254,16 +254,16 @@
         self.check()
 
     def calm(self, seconds):
-        """Let the store answer everything for a while."""
+        """Run for some seconds with a store that answers every call."""
         for _ in range(int(seconds / 0.1)):
             while any(store.decide("done") for store in self.stores):
                 pass
             self.step(("time", 0, 0.1))
 
     def check(self):
-        account = decode_account(self.rows.get(KEY_OF_ROW))
+        account = decode_account(self.rows.get(ROW_KEY))
         assert self.spent <= self.limit
-        # Below 0 only while tokens are recalled after the limit was lowered.
+        # Negative only while tokens are being returned after the limit was lowered.
         assert ungranted_tokens(account) >= 0 or account.limit_tokens == 0 or self.lowered
         assert self.spent <= account.ended_tokens + sum(account.granted_tokens.values())
 
@@ -281,7 +281,7 @@
     ("time", 0, 0.6),
     ("loan", 1, "done"),
 ]
-#: Random schedules draw from these besides.
+#: Actions of random schedules; repeated ones are more frequent.
 RANDOM_ACTIONS = [
     *ACTIONS,
     ("spend", 0, 13),
@@ -309,8 +309,8 @@
 ]
 
 
-class SpendsWhatItAsked(PrepaidAccounts):
-    """Broken: takes a grant whose answer is lost for its own."""
+class SpendsUnconfirmedGrant(PrepaidAccounts):
+    """Broken: spends a grant whose answer is lost."""
 
     async def _write(self, workspace, account, delta_tokens):
         try:
@@ -320,33 +320,35 @@
             return True
 
 
-class TrustsTheFirstLook(PrepaidAccounts):
-    """Broken: takes a lost write for one that never comes when the row does not show it."""
+class TrustsFirstRead(PrepaidAccounts):
+    """Broken: assumes that a lost write never arrives if the first read does not show it."""
 
     async def _resolve(self, workspace, account):
         row = await self._store.read_row(RowKey(TABLE, workspace, ROW_NAME))
         delta_tokens, wanted = account.unresolved
         account.unresolved = None
-        took = decode_account(row).granted_tokens == wanted.granted_tokens
-        if not took and delta_tokens < 0:
+        took_effect = decode_account(row).granted_tokens == wanted.granted_tokens
+        if not took_effect and delta_tokens < 0:
             self.ledger.add(workspace, -delta_tokens)
-        elif took and delta_tokens > 0:
+        elif took_effect and delta_tokens > 0:
             self.ledger.add(workspace, delta_tokens)
         account.version = row.version
-        account.row = wanted if took else change_grant(wanted, self._incarnation, -delta_tokens)
+        account.row = (
+            wanted if took_effect else change_grant(wanted, self._incarnation, -delta_tokens)
+        )
         self._observe(workspace, account)
 
 
-class SpendsOnBeyondItsPromise(PrepaidAccounts):
-    """Broken: does not keep to what its reports promise."""
+class IgnoresSpendBound(PrepaidAccounts):
+    """Broken: spends more than the bounds in its reports allow."""
 
     def _try_reserve(self, workspace, tokens, first_try):
         result = self.ledger.reserve(workspace, tokens, self._reactor.seconds(), first_try)
         return result.ok if result.is_ok() else None
 
 
-class ForgetsLostReports(PrepaidAccounts):
-    """Broken: a report whose answer is lost binds nobody."""
+class ForgetsUnconfirmedReports(PrepaidAccounts):
+    """Broken: ignores the bound in a report whose answer is lost."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -363,8 +365,8 @@
         reports._write = write
 
 
-class GivesBackAllThatIsUnreported(PrepaidAccounts):
-    """Broken: takes a dead router's last report for all that it spent."""
+class ReturnsAllUnreportedTokens(PrepaidAccounts):
+    """Broken: assumes that a crashed router spent nothing after its last report."""
 
     def _fold(self, workspace, row):
         self._reports.predecessor_bounds = {
@@ -374,15 +376,15 @@
         return super()._fold(workspace, row)
 
 
-class LendsAndKeeps(PrepaidAccounts):
-    """Broken: does not count what it lends as spent."""
+class KeepsLentTokens(PrepaidAccounts):
+    """Broken: does not count lent tokens as spent."""
 
     def lend(self, ask):
         return min(ask.desired_tokens, self._lendable_tokens(ask.workspace))
 
 
-class LendsBeyondItsPromise(PrepaidAccounts):
-    """Broken: lends all that it holds, whatever it has reported."""
+class LendsBeyondSpendBound(PrepaidAccounts):
+    """Broken: lends all tokens held, regardless of its reports."""
 
     def lend(self, ask):
         tokens = min(ask.desired_tokens, self.ledger.free_tokens(ask.workspace))
@@ -396,8 +398,8 @@
         return [LoanOffer("acme", self.ledger.free_tokens("acme"))]
 
 
-class CountsLoansTwice(PrepaidAccounts):
-    """Broken: its reports take borrowed tokens off twice."""
+class SubtractsLoansTwice(PrepaidAccounts):
+    """Broken: its reports subtract borrowed tokens twice."""
 
     def _own_committed_tokens(self, workspace):
         account = self._accounts.get(workspace)
@@ -406,23 +408,23 @@
 
 
 def run_schedule(schedule, accounts_type=PrepaidAccounts, simulation_type=PrepaidSimulation):
-    world = simulation_type(accounts_type)
+    simulation = simulation_type(accounts_type)
     for action in schedule:
-        world.step(action)
-    return world
+        simulation.step(action)
+    return simulation
 
 
 def random_schedule(seed, actions=RANDOM_ACTIONS, length=90):
-    draw = random.Random(seed)
-    return [draw.choice(actions) for _ in range(length)]
+    generator = random.Random(seed)
+    return [generator.choice(actions) for _ in range(length)]
 
 
-def is_caught(play_seed, seeds):
-    """Tell whether the checks fail on one of the first seeds; a broken variant has to be caught."""
+def is_caught(run_seed, seeds):
+    """Tell whether the checks fail for one of the first seeds, as a broken variant must."""
 
     def fails(seed):
         try:
-            play_seed(seed)
+            run_seed(seed)
         except AssertionError:
             return True
         return False
@@ -431,7 +433,7 @@
 
 
 def test_every_short_schedule_keeps_the_limit():
-    # Both routers hold a grant first, so that five steps reach the interesting part.
+    # Both routers hold a grant first, so that short schedules reach the relevant states.
     prefix = [("decide", 0, "done")] * 2 + [("spend", 0, 6), ("decide", 0, "done")]
     for schedule in itertools.product(ACTIONS, repeat=4):
         run_schedule(prefix + list(schedule))
@@ -447,14 +449,14 @@
 @pytest.mark.parametrize(
     "broken",
     [
-        SpendsWhatItAsked,
-        TrustsTheFirstLook,
-        SpendsOnBeyondItsPromise,
-        ForgetsLostReports,
-        GivesBackAllThatIsUnreported,
-        LendsAndKeeps,
-        LendsBeyondItsPromise,
-        CountsLoansTwice,
+        SpendsUnconfirmedGrant,
+        TrustsFirstRead,
+        IgnoresSpendBound,
+        ForgetsUnconfirmedReports,
+        ReturnsAllUnreportedTokens,
+        KeepsLentTokens,
+        LendsBeyondSpendBound,
+        SubtractsLoansTwice,
     ],
 )
 def test_random_schedules_catch_broken_accounting(broken):
@@ -462,173 +464,173 @@
 
 
 def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
-    world = PrepaidSimulation()
-    world.spend(0, 30)
-    calm(world)
-    world.spend(0, 2)
-    calm(world)
-    before = ungranted(world)
-    held = world.routers[0].ledger.free_tokens("acme")
-    world.start(0)
-    calm(world, 1.0)
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 30)
+    calm(simulation)
+    simulation.spend(0, 2)
+    calm(simulation)
+    before = ungranted(simulation)
+    held = simulation.routers[0].ledger.free_tokens("acme")
+    simulation.start(0)
+    calm(simulation, 1.0)
     assert held > 0
-    assert ungranted(world) > before
-    assert world.spent <= LIMIT - ungranted(world)
-
-
-def folded_after(away_s):
-    """Return what a successor folds that the store turns away at first."""
-    world = PrepaidSimulation()
-    world.spend(0, 30)
-    calm(world)
-    world.start(0)
-    for _ in range(int(away_s / 0.1)):
-        while world.stores[0].decide("refused"):
+    assert ungranted(simulation) > before
+    assert simulation.spent <= LIMIT - ungranted(simulation)
+
+
+def fold_after_outage(outage_s):
+    """Return the fold of a successor that can't reach the store for some seconds."""
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 30)
+    calm(simulation)
+    simulation.start(0)
+    for _ in range(int(outage_s / 0.1)):
+        while simulation.stores[0].decide("refused"):
             pass
-        world.step(("time", 0, 0.1))
-    calm(world, 2.0)
-    return world.routers[0]._log.with_event("prepaid.folded")[0]
+        simulation.step(("time", 0, 0.1))
+    calm(simulation, 2.0)
+    return simulation.routers[0]._log.with_event("prepaid.folded")[0]
 
 
 def test_successor_that_reaches_the_store_late_counts_no_spending_after_its_start():
-    at_once, late = folded_after(0.1), folded_after(8.0)
+    at_once, late = fold_after_outage(0.1), fold_after_outage(8.0)
     assert at_once["returned"] > 0
     assert late["spent"] <= at_once["spent"] + 1
 
 
 def test_spend_bound_lets_a_disconnected_router_spend_all_its_tokens_in_time():
-    world = PrepaidSimulation()
-    world.spend(0, 20)
-    calm(world)
-    held = world.routers[0].ledger.free_tokens("acme")
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 20)
+    calm(simulation)
+    held = simulation.routers[0].ledger.free_tokens("acme")
     assert held > 10
-    reports = world.routers[0]._reports
-    committed = world.routers[0].ledger.committed_tokens("acme")
+    reports = simulation.routers[0]._reports
+    committed = simulation.routers[0].ledger.committed_tokens("acme")
     at_once = reports.allowance_tokens("acme", committed)
     assert at_once < held
-    world.clock.advance(ALL_S / 2)
+    simulation.clock.advance(SPEND_ALL_S / 2)
     assert at_once < reports.allowance_tokens("acme", committed)
-    world.clock.advance(ALL_S / 2)
+    simulation.clock.advance(SPEND_ALL_S / 2)
     assert reports.allowance_tokens("acme", committed) >= held
 
 
-def lone_account(limit, routers=6):
-    """Return the accounts of one router under the product's own rules, and its world."""
-    world = PrepaidSimulation(limit=limit)
-    world.routers[1] = None
+def single_router(limit, routers=6):
+    """Return the simulation and the accounts of a single router with the default rules."""
+    simulation = PrepaidSimulation(limit=limit)
+    simulation.routers[1] = None
     accounts = PrepaidAccounts(
-        world.clock,
-        world.stores[0],
+        simulation.clock,
+        simulation.stores[0],
         "node-0",
         "node-0@own",
         SizingRule(floor_share=0.5, share=0.5, bias_corrected=True),
         ListLog(),
         lambda: routers,
     )
-    world.routers[0] = accounts
+    simulation.routers[0] = accounts
     accounts.set_limits({"acme": Workspace(name="acme", prepaid_tokens=limit)}, 1)
-    return world, accounts
+    return simulation, accounts
 
 
-def settle_down(world, seconds):
+def run_with_store(simulation, seconds):
     for _ in range(int(seconds / 0.05)):
-        while world.stores[0].decide("done"):
+        while simulation.stores[0].decide("done"):
             pass
-        world.clock.advance(0.05)
-        world.routers[0].run_maintenance()
+        simulation.clock.advance(0.05)
+        simulation.routers[0].run_maintenance()
 
 
 def test_request_much_larger_than_the_demand_is_served_when_the_store_is_unreachable():
-    world, accounts = lone_account(limit=1_000_000)
-    settle_down(world, 1.0)
+    simulation, accounts = single_router(limit=1_000_000)
+    run_with_store(simulation, 1.0)
     small = accounts.reserve("acme", 500)
     assert isinstance(small, Reservation)
-    settle_down(world, 1.0)
-    # The store is not reached from now on: reads and writes stay open.
-    world.clock.advance(0.3)
+    run_with_store(simulation, 1.0)
+    # The store is unreachable from now on: reads and writes remain pending.
+    simulation.clock.advance(0.3)
     large = accounts.reserve("acme", 10_000)
     assert isinstance(large, Reservation)
 
 
 @pytest.mark.parametrize(("routers", "reports"), [(6, 15), (390, 5)])
 def test_the_fleet_writes_a_bounded_number_of_reports(routers, reports):
-    world, accounts = lone_account(limit=1_000_000, routers=routers)
-    settle_down(world, 1.0)
+    simulation, accounts = single_router(limit=1_000_000, routers=routers)
+    run_with_store(simulation, 1.0)
     before = accounts._reports._number
-    settle_down(world, 4.0)
+    run_with_store(simulation, 4.0)
     assert abs(accounts._reports._number - before - reports) <= 1
 
 
-def count_reads(world, accounts, seconds):
-    """Return how many reads the store gets from a router without new requests."""
+def count_reads(simulation, accounts, seconds):
+    """Return the number of reads that a router sends to the store without new requests."""
     reads = 0
     for _ in range(int(seconds / 0.05)):
-        while world.stores[0].pending:
-            reads += world.stores[0].pending[0][0] == "read"
-            world.stores[0].decide("done")
-        world.clock.advance(0.05)
+        while simulation.stores[0].pending:
+            reads += simulation.stores[0].pending[0][0] == "read"
+            simulation.stores[0].decide("done")
+        simulation.clock.advance(0.05)
         accounts.run_maintenance()
     return reads
 
 
 @pytest.mark.parametrize(("routers", "most"), [(6, 12), (87, 2)])
 def test_row_reads_per_router_decrease_with_the_number_of_holders(routers, most):
-    world, accounts = lone_account(limit=100_000, routers=routers)
+    simulation, accounts = single_router(limit=100_000, routers=routers)
     workspaces = {f"w-{n}": Workspace(name=f"w-{n}", prepaid_tokens=100_000) for n in range(24)}
     accounts.set_limits(workspaces, 1)
-    settle_down(world, 2.0)
+    run_with_store(simulation, 2.0)
     for name in workspaces:
         accounts.reserve(name, 10)
-    settle_down(world, 2.0)
-    reads = count_reads(world, accounts, 10.0)
+    run_with_store(simulation, 2.0)
+    reads = count_reads(simulation, accounts, 10.0)
     assert reads <= most * 25
 
 
-def ungranted(world):
-    return ungranted_tokens(decode_account(world.rows.get(KEY_OF_ROW)))
+def ungranted(simulation):
+    return ungranted_tokens(decode_account(simulation.rows.get(ROW_KEY)))
 
 
 def test_raised_limit_is_used_and_lowered_limit_is_recalled():
-    world = PrepaidSimulation()
-    calm(world)
-    world.spend(0, 50)
-    calm(world)
-    assert world.spent == 50
-    world.limit, world.version = LIMIT + 30, 2
+    simulation = PrepaidSimulation()
+    calm(simulation)
+    simulation.spend(0, 50)
+    calm(simulation)
+    assert simulation.spent == 50
+    simulation.limit, simulation.version = LIMIT + 30, 2
     for index in (0, 1):
-        world.set_limit(index)
-    world.spend(1, 30)
-    calm(world)
-    assert world.spent == 80
-    world.limit, world.version, world.lowered = 80, 3, True
+        simulation.set_limit(index)
+    simulation.spend(1, 30)
+    calm(simulation)
+    assert simulation.spent == 80
+    simulation.limit, simulation.version, simulation.lowered = 80, 3, True
     for index in (0, 1):
-        world.set_limit(index)
-    calm(world)
-    assert ungranted(world) >= 0
-    answer = world.routers[0].reserve("acme", 5)
+        simulation.set_limit(index)
+    calm(simulation)
+    assert ungranted(simulation) >= 0
+    answer = simulation.routers[0].reserve("acme", 5)
     assert answer is BudgetRefusal.EXHAUSTED
 
 
 def test_older_limit_never_replaces_a_newer_one():
-    world = PrepaidSimulation()
-    world.limit, world.version = 10, 5
-    world.set_limit(0)
-    world.spend(0, 2)
-    calm(world)
-    world.limit, world.version = LIMIT, 1
-    world.set_limit(1)
-    calm(world)
-    assert decode_account(world.rows.get(KEY_OF_ROW)).limit_tokens == 10
+    simulation = PrepaidSimulation()
+    simulation.limit, simulation.version = 10, 5
+    simulation.set_limit(0)
+    simulation.spend(0, 2)
+    calm(simulation)
+    simulation.limit, simulation.version = LIMIT, 1
+    simulation.set_limit(1)
+    calm(simulation)
+    assert decode_account(simulation.rows.get(ROW_KEY)).limit_tokens == 10
 
 
 def test_stopping_router_gives_all_back():
-    world = PrepaidSimulation()
-    world.spend(0, 6)
-    calm(world)
-    world.routers[0].stop()
-    calm(world)
-    assert world.routers[0].settled
-    account = decode_account(world.rows.get(KEY_OF_ROW))
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 6)
+    calm(simulation)
+    simulation.routers[0].stop()
+    calm(simulation)
+    assert simulation.routers[0].settled
+    account = decode_account(simulation.rows.get(ROW_KEY))
     assert account.granted_tokens["node-0@1"] == 6
 
 
@@ -642,116 +644,116 @@
 
 
 def test_refusal_is_at_once_while_the_store_is_not_reached():
-    world = PrepaidSimulation()
-    for store in world.stores:
+    simulation = PrepaidSimulation()
+    for store in simulation.stores:
         while store.decide("refused"):
             pass
-    assert world.routers[0].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
+    assert simulation.routers[0].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
 def test_urgent_requests_go_first_while_the_store_is_not_reached():
-    world = PrepaidSimulation()
-    world.spend(0, 20)
-    calm(world)
-    router = world.routers[0]
-    world.clock.advance(ALL_S)
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 20)
+    calm(simulation)
+    router = simulation.routers[0]
+    simulation.clock.advance(SPEND_ALL_S)
     held = router.ledger.free_tokens("acme")
     router.run_maintenance()
-    while world.stores[0].decide("refused"):
+    while simulation.stores[0].decide("refused"):
         pass
-    # What a peer can lend serves urgent requests as well; here none can.
-    world.routers[1].spare = list
+    # Lendable tokens of peers would count as well; here no peer can lend.
+    simulation.routers[1].spare = list
     assert router.reserve("acme", held - 2, priority=2) is BudgetRefusal.UNREACHABLE
     assert isinstance(router.reserve("acme", held - 2, priority=0), Reservation)
 
 
 def test_waiting_requests_are_refused_when_contact_is_lost():
-    world = PrepaidSimulation()
-    answer = world.routers[0].reserve("acme", 5)
+    simulation = PrepaidSimulation()
+    answer = simulation.routers[0].reserve("acme", 5)
     refused = []
     answer.addCallback(refused.append)
     assert refused == []
-    while world.stores[0].decide("refused"):
+    while simulation.stores[0].decide("refused"):
         pass
     assert refused == [BudgetRefusal.UNREACHABLE]
 
 
 def test_only_the_first_request_waits_for_a_store_that_is_silent():
-    world = PrepaidSimulation()
+    simulation = PrepaidSimulation()
     answers = []
-    world.routers[0].reserve("acme", 5).addCallback(answers.append)
-    world.clock.advance(0.5)
+    simulation.routers[0].reserve("acme", 5).addCallback(answers.append)
+    simulation.clock.advance(0.5)
     assert answers == [BudgetRefusal.UNREACHABLE]
-    assert world.routers[0].reserve("acme", 5) is BudgetRefusal.UNREACHABLE
-    calm(world)
-    assert isinstance(world.routers[0].reserve_now("acme", 1), Reservation | None)
-    world.spend(0, 5)
-    calm(world)
-    assert world.spent == 5
+    assert simulation.routers[0].reserve("acme", 5) is BudgetRefusal.UNREACHABLE
+    calm(simulation)
+    assert isinstance(simulation.routers[0].reserve_now("acme", 1), Reservation | None)
+    simulation.spend(0, 5)
+    calm(simulation)
+    assert simulation.spent == 5
 
 
 def test_router_that_is_cut_off_borrows_what_a_peer_holds():
-    world = PrepaidSimulation()
-    world.spend(0, 20)
-    calm(world)
-    world.clock.advance(ALL_S)
-    held = world.routers[0].spare()[0].tokens
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 20)
+    calm(simulation)
+    simulation.clock.advance(SPEND_ALL_S)
+    held = simulation.routers[0].spare()[0].tokens
     assert held >= 6
-    lose_store(world, 1)
+    disconnect_store(simulation, 1)
     answers = []
-    world.routers[1].reserve("acme", 6).addCallback(answers.append)
-    world.lenders[1].decide("done")
+    simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
+    simulation.lenders[1].decide("done")
     assert isinstance(answers[0], Reservation)
-    assert world.routers[0].ledger.committed_tokens("acme") >= 20 + 6
+    assert simulation.routers[0].ledger.committed_tokens("acme") >= 20 + 6
 
 
 def test_request_is_refused_at_once_when_no_peer_can_lend():
-    world = PrepaidSimulation()
-    world.spend(0, 20)
-    calm(world)
-    world.clock.advance(ALL_S)
-    lose_store(world, 1)
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 20)
+    calm(simulation)
+    simulation.clock.advance(SPEND_ALL_S)
+    disconnect_store(simulation, 1)
     answers = []
-    world.routers[1].reserve("acme", 6).addCallback(answers.append)
-    world.lenders[1].decide("refused")
+    simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
+    simulation.lenders[1].decide("refused")
     assert answers == [BudgetRefusal.UNREACHABLE]
-    world.routers[0].spare = list
-    assert world.routers[1].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
+    simulation.routers[0].spare = list
+    assert simulation.routers[1].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
 def test_last_tokens_of_a_workspace_are_borrowed_from_the_peer_that_holds_them():
-    world = PrepaidSimulation()
-    world.spend(0, 30)
-    calm(world)
-    free = [router.ledger.free_tokens("acme") for router in world.routers]
-    left = ungranted(world)
+    simulation = PrepaidSimulation()
+    simulation.spend(0, 30)
+    calm(simulation)
+    free = [router.ledger.free_tokens("acme") for router in simulation.routers]
+    left = ungranted(simulation)
     assert free[0] >= 4
     answers = []
     wanted = left + free[1] + 2
-    world.routers[1].reserve("acme", wanted).addCallback(answers.append)
+    simulation.routers[1].reserve("acme", wanted).addCallback(answers.append)
     for _ in range(20):
-        world.lenders[1].decide("done")
-        calm(world, 0.1)
+        simulation.lenders[1].decide("done")
+        calm(simulation, 0.1)
     assert isinstance(answers[0], Reservation)
 
 
-def lose_store(world, index):
-    """Let a router learn that the store is not reached."""
-    world.routers[index].schedule_update("acme")
-    world.routers[index]._account("acme").row = None
-    world.routers[index].schedule_update("acme")
-    world.routers[index]._pause()
+def disconnect_store(simulation, index):
+    """Make a router consider the store unreachable."""
+    simulation.routers[index].schedule_update("acme")
+    simulation.routers[index]._account("acme").row = None
+    simulation.routers[index].schedule_update("acme")
+    simulation.routers[index]._pause()
 
 
-def calm(world, seconds=3.0):
-    """Let the store answer everything for a while."""
-    world.calm(seconds)
+def calm(simulation, seconds=3.0):
+    """Run for some seconds with a store that answers every call."""
+    simulation.calm(seconds)
 
 
-# The same through whole gateways.
+# Tests with complete gateways.
 
 
-def prepaid_rig(prepaid):
+def prepaid_harness(prepaid):
     harness = Harness(
         pools=(ENGINE_POOL,),
         workspaces=(Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid),),
@@ -763,15 +765,15 @@
 
 
 def test_gateways_serve_up_to_the_limit_and_no_further():
-    harness = prepaid_rig(1_000)
+    harness = prepaid_harness(1_000)
     harness.network.advance(1.0)
-    statuses = []
+    callers = []
     for turn in range(20):
         headers = harness.prompt(80, 40)
-        statuses.append(harness.ask(gateway=turn % 2, method=b"POST", body=b"", headers=headers))
-    served = [caller for caller in statuses if caller.status == 200]
-    refused = [caller for caller in statuses if caller.status != 200]
-    # Each takes 80 tokens in and 4 events of 5 tokens out.
+        callers.append(harness.ask(gateway=turn % 2, method=b"POST", body=b"", headers=headers))
+    served = [caller for caller in callers if caller.status == 200]
+    refused = [caller for caller in callers if caller.status != 200]
+    # Each uses 80 prompt tokens and 4 events of 5 output tokens.
     assert 8 <= len(served) <= 10
     assert {(caller.status, reason(caller)) for caller in refused} == {(402, "budget_exhausted")}
 
@@ -798,14 +800,14 @@
 
 
 def test_request_larger_than_all_that_is_left_is_refused_at_once():
-    harness = prepaid_rig(1_000)
+    harness = prepaid_harness(1_000)
     harness.network.advance(1.0)
     caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(2_000, 10))
     assert (caller.status, reason(caller)) == (402, "budget_exhausted")
 
 
 def test_gateway_cut_off_from_the_store_serves_what_it_holds():
-    harness = prepaid_rig(100_000)
+    harness = prepaid_harness(100_000)
     harness.network.advance(2.0)
     for client in harness.clients:
         client.faults.away = True
