--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -246,14 +246,14 @@
         elif name == "stop":
             self.routers[index].stop()
         elif name == "calm":
-            self.calm(action[2])
+            self.answer_all_calls(action[2])
         elif name == "time":
             self.clock.advance(action[2])
             for router in self.routers:
                 router.run_maintenance()
         self.check()
 
-    def calm(self, seconds):
+    def answer_all_calls(self, seconds):
         """Run for some seconds with a store that answers every call."""
         for _ in range(int(seconds / 0.1)):
             while any(store.decide("done") for store in self.stores):
@@ -466,13 +466,13 @@
 def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
     simulation = PrepaidSimulation()
     simulation.spend(0, 30)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.spend(0, 2)
-    calm(simulation)
+    answer_all_calls(simulation)
     before = ungranted(simulation)
     held = simulation.routers[0].ledger.free_tokens("acme")
     simulation.start(0)
-    calm(simulation, 1.0)
+    answer_all_calls(simulation, 1.0)
     assert held > 0
     assert ungranted(simulation) > before
     assert simulation.spent <= LIMIT - ungranted(simulation)
@@ -482,13 +482,13 @@
     """Return the fold of a successor that can't reach the store for some seconds."""
     simulation = PrepaidSimulation()
     simulation.spend(0, 30)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.start(0)
     for _ in range(int(outage_s / 0.1)):
         while simulation.stores[0].decide("refused"):
             pass
         simulation.step(("time", 0, 0.1))
-    calm(simulation, 2.0)
+    answer_all_calls(simulation, 2.0)
     return simulation.routers[0]._log.with_event("prepaid.folded")[0]
 
 
@@ -501,7 +501,7 @@
 def test_spend_bound_lets_a_disconnected_router_spend_all_its_tokens_in_time():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
-    calm(simulation)
+    answer_all_calls(simulation)
     held = simulation.routers[0].ledger.free_tokens("acme")
     assert held > 10
     reports = simulation.routers[0]._reports
@@ -592,20 +592,20 @@
 
 def test_raised_limit_is_used_and_lowered_limit_is_recalled():
     simulation = PrepaidSimulation()
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.spend(0, 50)
-    calm(simulation)
+    answer_all_calls(simulation)
     assert simulation.spent == 50
     simulation.limit, simulation.version = LIMIT + 30, 2
     for index in (0, 1):
         simulation.set_limit(index)
     simulation.spend(1, 30)
-    calm(simulation)
+    answer_all_calls(simulation)
     assert simulation.spent == 80
     simulation.limit, simulation.version, simulation.lowered = 80, 3, True
     for index in (0, 1):
         simulation.set_limit(index)
-    calm(simulation)
+    answer_all_calls(simulation)
     assert ungranted(simulation) >= 0
     answer = simulation.routers[0].reserve("acme", 5)
     assert answer is BudgetRefusal.EXHAUSTED
@@ -616,19 +616,19 @@
     simulation.limit, simulation.version = 10, 5
     simulation.set_limit(0)
     simulation.spend(0, 2)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.limit, simulation.version = LIMIT, 1
     simulation.set_limit(1)
-    calm(simulation)
+    answer_all_calls(simulation)
     assert decode_account(simulation.rows.get(ROW_KEY)).limit_tokens == 10
 
 
 def test_stopping_router_gives_all_back():
     simulation = PrepaidSimulation()
     simulation.spend(0, 6)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.routers[0].stop()
-    calm(simulation)
+    answer_all_calls(simulation)
     assert simulation.routers[0].settled
     account = decode_account(simulation.rows.get(ROW_KEY))
     assert account.granted_tokens["node-0@1"] == 6
@@ -654,7 +654,7 @@
 def test_urgent_requests_go_first_while_the_store_is_not_reached():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
-    calm(simulation)
+    answer_all_calls(simulation)
     router = simulation.routers[0]
     simulation.clock.advance(SPEND_ALL_S)
     held = router.ledger.free_tokens("acme")
@@ -685,17 +685,17 @@
     simulation.clock.advance(0.5)
     assert answers == [BudgetRefusal.UNREACHABLE]
     assert simulation.routers[0].reserve("acme", 5) is BudgetRefusal.UNREACHABLE
-    calm(simulation)
+    answer_all_calls(simulation)
     assert isinstance(simulation.routers[0].reserve_now("acme", 1), Reservation | None)
     simulation.spend(0, 5)
-    calm(simulation)
+    answer_all_calls(simulation)
     assert simulation.spent == 5
 
 
 def test_router_that_is_cut_off_borrows_what_a_peer_holds():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.clock.advance(SPEND_ALL_S)
     held = simulation.routers[0].spare()[0].tokens
     assert held >= 6
@@ -710,7 +710,7 @@
 def test_request_is_refused_at_once_when_no_peer_can_lend():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
-    calm(simulation)
+    answer_all_calls(simulation)
     simulation.clock.advance(SPEND_ALL_S)
     disconnect_store(simulation, 1)
     answers = []
@@ -724,7 +724,7 @@
 def test_last_tokens_of_a_workspace_are_borrowed_from_the_peer_that_holds_them():
     simulation = PrepaidSimulation()
     simulation.spend(0, 30)
-    calm(simulation)
+    answer_all_calls(simulation)
     free = [router.ledger.free_tokens("acme") for router in simulation.routers]
     left = ungranted(simulation)
     assert free[0] >= 4
@@ -733,7 +733,7 @@
     simulation.routers[1].reserve("acme", wanted).addCallback(answers.append)
     for _ in range(20):
         simulation.lenders[1].decide("done")
-        calm(simulation, 0.1)
+        answer_all_calls(simulation, 0.1)
     assert isinstance(answers[0], Reservation)
 
 
@@ -745,9 +745,9 @@
     simulation.routers[index]._pause()
 
 
-def calm(simulation, seconds=3.0):
+def answer_all_calls(simulation, seconds=3.0):
     """Run for some seconds with a store that answers every call."""
-    simulation.calm(seconds)
+    simulation.answer_all_calls(seconds)
 
 
 # Tests with complete gateways.
