--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -276,7 +276,7 @@
     # Predecessors.
 
     async def read_predecessors(self) -> None:
-        """Read the most that earlier incarnations of this node can have spent.
+        """Read upper bounds on the spending of earlier incarnations of this node.
 
         Concurrent callers share one read.
         """
@@ -400,7 +400,7 @@
 
 
 def _bounds(row: StoredRow, now_s: float, era: int | None) -> dict[str, int]:
-    """Return by workspace the most that a report's writer can have spent by ``now_s``.
+    """Return by workspace the upper bound on the spending of a report's writer at ``now_s``.
 
     Returns no bounds if the report is of another era than the store's. A report without an era
     is accepted: versions without support for eras write none.
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -355,11 +355,11 @@
         reports = self._reports
 
         async def write():
-            kept = list(reports._sent)
+            unconfirmed = list(reports._sent)
             try:
                 await SpendReports._write(reports)
             except RowOutcomeUnknownError:
-                reports._sent = kept
+                reports._sent = unconfirmed
                 raise
 
         reports._write = write
@@ -726,11 +726,11 @@
     simulation.spend(0, 30)
     answer_all_calls(simulation)
     free = [router.ledger.free_tokens("acme") for router in simulation.routers]
-    left = ungranted(simulation)
+    remaining = ungranted(simulation)
     assert free[0] >= 4
     answers = []
-    wanted = left + free[1] + 2
-    simulation.routers[1].reserve("acme", wanted).addCallback(answers.append)
+    needed = remaining + free[1] + 2
+    simulation.routers[1].reserve("acme", needed).addCallback(answers.append)
     for _ in range(20):
         simulation.lenders[1].decide("done")
         answer_all_calls(simulation, 0.1)
@@ -768,9 +768,9 @@
     harness = prepaid_harness(1_000)
     harness.network.advance(1.0)
     callers = []
-    for turn in range(20):
+    for number in range(20):
         headers = harness.prompt(80, 40)
-        callers.append(harness.ask(gateway=turn % 2, method=b"POST", body=b"", headers=headers))
+        callers.append(harness.ask(gateway=number % 2, method=b"POST", body=b"", headers=headers))
     served = [caller for caller in callers if caller.status == 200]
     refused = [caller for caller in callers if caller.status != 200]
     # Each uses 80 prompt tokens and 4 events of 5 output tokens.
