--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -24,7 +24,7 @@
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import SpendBoundRule, SpendReports
 from turnward.gateway.tests.harness import KEY, Harness, ListLog, stream_events
-from turnward.gateway.tests.test_forwarding import ENGINE_POOL, reason
+from turnward.gateway.tests.test_forwarding import ENGINE_POOL, error_reason
 from turnward.ledger import Reservation, SizingRule
 from turnward.rows import (
     RowKey,
@@ -775,7 +775,9 @@
     refused = [caller for caller in callers if caller.status != 200]
     # Each uses 80 prompt tokens and 4 events of 5 output tokens.
     assert 8 <= len(served) <= 10
-    assert {(caller.status, reason(caller)) for caller in refused} == {(402, "budget_exhausted")}
+    assert {(caller.status, error_reason(caller)) for caller in refused} == {
+        (402, "budget_exhausted")
+    }
 
 
 def test_retry_after_a_run_reserves_the_output_of_another_run():
@@ -803,7 +805,7 @@
     harness = prepaid_harness(1_000)
     harness.network.advance(1.0)
     caller = harness.ask(method=b"POST", body=b"", headers=harness.prompt(2_000, 10))
-    assert (caller.status, reason(caller)) == (402, "budget_exhausted")
+    assert (caller.status, error_reason(caller)) == (402, "budget_exhausted")
 
 
 def test_gateway_disconnected_from_the_store_serves_from_its_grant():
