--- a/turnward/admission/__init__.py
+++ b/turnward/admission/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which requests are let in when a pool is beyond its capacity."""
+"""Admission control: which requests a pool accepts when it is overloaded."""
 
 from turnward.admission.overload import OverloadPeriod
 from turnward.admission.rule import AdmissionRule
--- a/turnward/admission/rule.py
+++ b/turnward/admission/rule.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Refuses at the entry what would wait too long, so that what is let in is served in time.
+"""Refuses requests that would wait too long, so that admitted requests are served in time.
 
-Beyond capacity a queue at the endpoints grows until all that is in it is late, and what is late
-still takes its turn. Here a request is let in while some endpoint's queue is shorter than its
-urgency allows; else it is refused at once. Less urgent requests see a shorter bound, so that there
-is room left for urgent ones. The own prompt does not count: a long one is late by itself, but worth
-as much for the time that it takes as others are.
+When a pool is overloaded, the queues at its endpoints grow until every request in them misses its
+target, and late requests still take up capacity. A request is therefore admitted only while some
+endpoint's queue is shorter than a bound, and refused at once otherwise. Less urgent requests have a
+lower bound, which leaves room for urgent ones. The bound applies to the queue alone, not to the
+time that the request's own prompt takes.
 """
 
 import msgspec
@@ -14,15 +14,14 @@
 
 
 class AdmissionRule(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of admission.
+    """Longest queues at which requests are admitted.
 
     Attributes
     ----------
     shares : tuple of float
-        Share of a pool's target that the queue may take, by rank; the last one counts for all less
-        urgent ones. None lets everything in. What is known of the queue is up to 0.25 s old, and
-        all routers let in by it at the same time: hence 0.7 in place of 1. Compared with other
-        bounds in decision 25.
+        Share of a pool's target that the queue may take, by rank; the last one applies to all
+        lower ranks. An empty tuple admits every request. Values below 1 allow for queue lengths
+        being up to 0.25 s old and all routers admitting requests on them at the same time.
 
     Examples
     --------
@@ -36,14 +35,16 @@
     shares: tuple[float, ...] = (0.7, 0.5, 0.35)
 
     def excess_ms(self, queue_ms: float, target_s: float, rank: int) -> float:
-        """Return by how much the shortest queue is too long for a request; 0 lets it in.
+        """Return by how much the shortest queue exceeds a request's bound; 0 admits the request.
 
         Parameters
         ----------
+        queue_ms : float
+            Time that the shortest queue of the pool takes to process.
         target_s : float
             The shortest target of the pool's routes.
         rank : int
-            0 for the most urgent priority of the pool's routes; rises as urgency falls.
+            0 for the most urgent priority of the pool's routes; higher ranks are less urgent.
         """
         if not self.shares:
             return 0.0
--- a/turnward/admission/tests/test_rule.py
+++ b/turnward/admission/tests/test_rule.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Bounds of admission: by urgency, and never at an idle endpoint; how long overload lasts on."""
+"""Admission bounds by urgency, and the expected remaining time of an overload."""
 
 import pytest
 from hypothesis import given
@@ -9,12 +9,11 @@
 
 RULE = AdmissionRule()
 TARGET_S = 0.8
-#: Times that queues may show, in milliseconds.
-TIMES_MS = st.floats(0.0, 1e6)
+QUEUES_MS = st.floats(0.0, 1e6)
 
 
 def bound_ms(rank):
-    """Return the longest queue that a request bears."""
+    """Return the longest queue at which a request of this rank is admitted."""
     return 1e6 - RULE.excess_ms(1e6, TARGET_S, rank)
 
 
@@ -23,10 +22,10 @@
     assert RULE.excess_ms(0.0, target_s, rank) == 0.0
 
 
-@given(queue_ms=TIMES_MS, more_ms=TIMES_MS, rank=st.integers(0, 11))
-def test_longer_queue_or_lower_urgency_never_admits_a_refused_request(queue_ms, more_ms, rank):
+@given(queue_ms=QUEUES_MS, extra_ms=QUEUES_MS, rank=st.integers(0, 11))
+def test_longer_queue_or_lower_urgency_never_admits_a_refused_request(queue_ms, extra_ms, rank):
     before = RULE.excess_ms(queue_ms, TARGET_S, rank)
-    assert RULE.excess_ms(queue_ms + more_ms, TARGET_S, rank) >= before
+    assert RULE.excess_ms(queue_ms + extra_ms, TARGET_S, rank) >= before
     assert RULE.excess_ms(queue_ms, TARGET_S, rank + 1) >= before
 
 
@@ -48,19 +47,19 @@
 
 def test_expected_rest_of_overload_is_half_its_age_up_to_a_limit():
     clock = Clock()
-    spell = OverloadPeriod(clock)
+    period = OverloadPeriod(clock)
     for _ in range(40):
-        told_s = spell.note_refused()
-        assert told_s == pytest.approx(min(4.0, (clock.now_s - 100.0) / 2))
+        remaining_s = period.note_refused()
+        assert remaining_s == pytest.approx(min(4.0, (clock.now_s - 100.0) / 2))
         clock.now_s += 0.5
-    assert told_s == 4.0
+    assert remaining_s == 4.0
 
 
 def test_pause_without_refusals_ends_an_overload_period():
     clock = Clock()
-    spell = OverloadPeriod(clock)
-    spell.note_refused()
+    period = OverloadPeriod(clock)
+    period.note_refused()
     clock.now_s += 0.9
-    assert spell.note_refused() > 0.0
+    assert period.note_refused() > 0.0
     clock.now_s += 1.1
-    assert spell.note_refused() == 0.0
+    assert period.note_refused() == 0.0
