--- a/turnward/gateway/pool_admission.py
+++ b/turnward/gateway/pool_admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Whether a request is let in to a pool, by its urgency and the queues there."""
+"""Decides whether a pool admits a request, by its urgency and the queues of the pool."""
 
 from turnward.admission import AdmissionRule
 from turnward.gateway.choice import EndpointBook, EndpointChoice
@@ -9,16 +9,16 @@
 
 
 class PoolAdmission:
-    """Asks the rule of admission with what is known of a pool.
+    """Applies the admission rule to the known queues and targets of a pool.
 
     Parameters
     ----------
     rule : AdmissionRule
-        Bounds of queues.
+        Longest queues at which requests are admitted.
     state : FleetState
         The configuration: targets and priorities of routes.
     endpoints : EndpointBook
-        The queues.
+        The endpoints and their queues.
     """
 
     def __init__(self, rule: AdmissionRule, state: FleetState, endpoints: EndpointBook):
@@ -27,9 +27,9 @@
         self._endpoints = endpoints
 
     def excess_s(self, pool: str, priority: int, choice: EndpointChoice) -> float:
-        """Return by how much all queues of a pool are too long for a request; 0 lets it in.
+        """Return by how much every queue of a pool exceeds a request's bound; 0 admits it.
 
-        Only where the queue at the chosen endpoint is too long are the others looked at.
+        Other endpoints are checked only if the queue of the chosen one is too long.
         """
         if not self._excess_ms(pool, priority, choice.queue_ms):
             return 0.0
--- a/turnward/gateway/progress.py
+++ b/turnward/gateway/progress.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How far the event stream of one answer has come at its caller."""
+"""How much of an event stream has been forwarded to its caller."""
 
 __all__ = ["StreamProgress"]
 
 
 class StreamProgress:
-    """Events passed on to one caller, whichever endpoints they came from.
+    """Events forwarded to one caller, from whichever endpoints.
 
     Attributes
     ----------
     events : int
-        Passed on so far.
+        Number of events forwarded so far.
     last_id : bytes or None
-        Id of the last event that had one.
+        Id of the last event that carried one.
     first_s, last_s : float or None
-        When the first and the last event passed, on the steady clock.
+        When the first and the last event were forwarded, on the monotonic clock.
     longest_pause_s : float
-        Longest time between two events.
+        Longest time between two consecutive events.
 
     Examples
     --------
@@ -39,7 +39,7 @@
         self.longest_pause_s = 0.0
 
     def note(self, count: int, last_id: bytes | None, now_s: float) -> None:
-        """Count events that came together."""
+        """Record events that were forwarded together."""
         if not count:
             return
         if self.first_s is None:
@@ -52,7 +52,7 @@
             self.last_id = last_id
 
     def may_continue_with(self, first_id: bytes | None) -> bool:
-        """Tell whether an event with this id may follow the last one passed on."""
+        """Tell whether an event with this id may follow the last forwarded one."""
         if self.last_id is None or first_id is None:
             return True
         if not self.last_id.isdigit() or not first_id.isdigit():
--- a/turnward/gateway/prompts.py
+++ b/turnward/gateway/prompts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a request tells of its prompt: sizes, and the parts that other prompts may share."""
+"""Prompt sizes, and the prompt parts that requests may share, as requests declare them."""
 
 import zlib
 
@@ -9,23 +9,31 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt, named by all parts up to it."""
+    """A part of a prompt.
+
+    Attributes
+    ----------
+    prefix_hash : int
+        Hash of the ids of all parts up to and including this one.
+    tokens : int
+        Size of this part alone.
+    """
 
     prefix_hash: int
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What is known of a prompt.
+    """The declared sizes and parts of a prompt.
 
     Attributes
     ----------
     tokens : int
-        Of the whole prompt.
+        Size of the whole prompt.
     output_tokens : int
-        The most that may be made.
+        Most tokens that may be generated.
     parts : tuple of PromptPart
-        In order; the last one is the request's own or its session's.
+        In order; the last one is specific to the request or its session.
     """
 
     tokens: int = 0
@@ -34,12 +42,12 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other prompts may have too: all but the last."""
+        """Tokens of the parts that other prompts may share: all but the last."""
         return sum(part.tokens for part in self.parts[:-1])
 
 
 def parse_prompt_parts(text: str, limit: int = 64) -> tuple[PromptPart, ...]:
-    """Return the parts that ``ID:TOKENS,ID:TOKENS`` names; empty when it is not that.
+    """Parse prompt parts of the form ``ID:TOKENS,ID:TOKENS``; empty if malformed.
 
     Examples
     --------
@@ -50,8 +58,8 @@
     """
     parts = []
     prefix_hash = 0
-    for word in text.split(",")[:limit]:
-        name, _, tokens = word.strip().partition(":")
+    for item in text.split(",")[:limit]:
+        name, _, tokens = item.strip().partition(":")
         if not tokens.isdigit():
             return ()
         prefix_hash = zlib.crc32(name.encode(), prefix_hash)
--- a/turnward/gateway/streams.py
+++ b/turnward/gateway/streams.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Splits an event stream into whole events.
+"""Splits an event stream into complete events.
 
 References
 ----------
@@ -15,16 +15,16 @@
 
 
 class StreamEvents(msgspec.Struct, frozen=True):
-    """Whole events taken from a stream.
+    """Complete events taken from a stream.
 
     Attributes
     ----------
     data : bytes
-        Their bytes as they came.
+        Their bytes as received.
     count : int
-        How many.
+        Number of events.
     first_id, last_id : bytes or None
-        Ids of the first and the last event that have one.
+        Ids of the first and the last event that carry one.
     """
 
     data: bytes
@@ -34,7 +34,7 @@
 
 
 class EventSplitter:
-    """Gathers bytes and gives whole events out.
+    """Buffers bytes and returns complete events.
 
     Examples
     --------
@@ -54,30 +54,30 @@
 
     @property
     def partial(self) -> bool:
-        """Whether bytes of an event wait for its end."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._tail)
 
     def feed(self, data: bytes) -> StreamEvents:
-        """Take bytes in and return the events that are whole now."""
+        """Buffer bytes and return the events that are complete now."""
         data = self._tail + data
         end = _end_of_last_event(data)
         if end == 0:
             self._tail = data
             return StreamEvents(b"", 0, None, None)
-        whole, self._tail = data[:end], data[end:]
-        return StreamEvents(whole, *_count(whole))
+        complete, self._tail = data[:end], data[end:]
+        return StreamEvents(complete, *_count_events(complete))
 
 
 def _end_of_last_event(data: bytes) -> int:
     """Return where the last blank line ends, or 0 where there is none."""
-    ends = (data.rfind(mark) + len(mark) for mark in _BLANK_LINES if mark in data)
+    ends = (data.rfind(blank) + len(blank) for blank in _BLANK_LINES if blank in data)
     return max(ends, default=0)
 
 
-def _count(whole: bytes) -> tuple[int, bytes | None, bytes | None]:
+def _count_events(complete: bytes) -> tuple[int, bytes | None, bytes | None]:
     count = 0
     ids = []
-    for event in whole.replace(b"\r\n", b"\n").split(b"\n\n"):
+    for event in complete.replace(b"\r\n", b"\n").split(b"\n\n"):
         if not event.strip():
             continue
         count += 1
