--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One endpoint as a router sees it: its load, what it keeps, whether it takes work, its pace."""
+"""A router's record of one endpoint: load, cached prompt parts, availability and speed."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 
 __all__ = ["EndpointRecord"]
 
-#: Prompt parts remembered by endpoint.
-_PARTS_LIMIT = 1_500
-#: Seconds after which a prompt part is no longer taken for kept.
-_PART_LIFE_S = 25.0
-#: Seconds for which an endpoint without an entry keeps its work when many lost theirs with the
-#: store: most are back by then, and one that had ended must get nothing after two, connecting
-#: included.
-_LAPSE_S = 1.4
+#: Limit of prompt parts remembered per endpoint.
+_MAX_PARTS = 1_500
+#: Time after which a prompt part is no longer assumed to be cached.
+_PART_LIFETIME_S = 25.0
+#: Time for which an endpoint stays in use after its entry lapsed along with many others. Most
+#: entries return within it, and an endpoint that has ended must get no requests after 2 s,
+#: connecting included.
+_LAPSE_GRACE_S = 1.4
 
 
 class EndpointRecord:
@@ -30,33 +30,38 @@
 
     Parameters
     ----------
+    entry : EndpointEntry
+        The endpoint's entry in the store.
     make_pool : callable
-        Returns the connections to an address, given who is told the heads of answers.
+        Returns the connection pool of an address; takes the address and a callback for the heads
+        of answers.
+    warm_up : WarmUp
+        Warm-up state of the endpoint.
     on_head : callable
-        Told the record, status and headers of each answer that the endpoint begins.
+        Called with the record, status and headers of each answer of the endpoint.
 
     Attributes
     ----------
     in_flight : int
-        This router's own requests there.
+        This router's own requests to it.
     opening : int
-        Own requests there that wait for a connection.
+        This router's own requests that wait for a connection to it.
     prefill_tokens : int
-        Prompt tokens of own requests whose first event has not come.
+        Prompt tokens of own requests whose first event has not arrived.
     availability : Availability
-        Whether it takes work.
+        Whether it accepts requests.
     abandoned : AbandonedRuns
-        Own runs there that were given up lately.
+        Own runs that were abandoned recently.
     pace : EventGapTracker
-        How fast own streams go on there.
+        Gaps between the events of own streams.
     speed_class : SpeedClass
-        How fast it is beside the others of its pool.
+        Its speed relative to the others of its pool.
     incarnation : str
-        Names this start of the endpoint: what is known here ends with it.
+        Identifies one start of the endpoint; a restarted endpoint gets a new record.
     warm_up : WarmUp
         Whether it is cold.
     lapsed_s : float or None
-        When its entry went with many others; None while it has one.
+        When its entry lapsed along with many others; None while it has an entry.
     """
 
     __slots__ = (
@@ -98,36 +103,36 @@
 
     @property
     def endpoint_id(self) -> str:
-        """The endpoint's id."""
+        """Id of the endpoint, the same for all its starts."""
         return self.entry.endpoint_id
 
     def matches_entry(self, entry: EndpointEntry) -> bool:
-        """Tell whether an entry is of the process that is known here."""
+        """Tell whether an entry belongs to the same process as this record."""
         return entry.incarnation == self.incarnation and entry.address == self.entry.address
 
     def remember(self, prompt: Prompt, now_s: float) -> None:
-        """Note that the endpoint reads a prompt, and so keeps its parts."""
+        """Note that the endpoint processes a prompt, and so caches its parts."""
         for part in prompt.parts:
             self._parts[part.prefix_hash] = now_s
             self._parts.move_to_end(part.prefix_hash)
-        while len(self._parts) > _PARTS_LIMIT:
+        while len(self._parts) > _MAX_PARTS:
             self._parts.popitem(last=False)
 
     def kept_tokens(self, prompt: Prompt, now_s: float) -> int:
-        """Return how many of a prompt's tokens own requests have read there."""
-        kept = 0
+        """Return how many leading tokens of a prompt own requests have put into the cache."""
+        cached = 0
         for part in prompt.parts:
-            seen_s = self._parts.get(part.prefix_hash)
-            if seen_s is None or now_s - seen_s > _PART_LIFE_S:
+            cached_s = self._parts.get(part.prefix_hash)
+            if cached_s is None or now_s - cached_s > _PART_LIFETIME_S:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
     def mark_lapsed(self, now_s: float) -> None:
-        """Note that its entry is gone; the first time counts."""
+        """Note that its entry is missing; later calls change nothing."""
         if self.lapsed_s is None:
             self.lapsed_s = now_s
 
     def may_return(self, now_s: float) -> bool:
-        """Tell whether its entry, gone with many others, may still come back."""
-        return self.lapsed_s is not None and now_s - self.lapsed_s < _LAPSE_S
+        """Tell whether its lapsed entry may still return."""
+        return self.lapsed_s is not None and now_s - self.lapsed_s < _LAPSE_GRACE_S
--- a/turnward/gateway/engine_speed.py
+++ b/turnward/gateway/engine_speed.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""How fast an endpoint's streams go on when nothing holds them up, learned from their events.
+"""Measures how fast engines generate, from the times between the events of their streams.
 
-Servers of one pool differ in speed. On a slower one a long prompt that is read holds up every
-stream for longer, often for more than callers find acceptable.
+Engines of one pool differ in speed. While an engine processes a long prompt, all its streams are
+held up; on a slower engine they are held up for longer, often beyond the pause target.
 """
 
 from collections import deque
@@ -12,37 +12,34 @@
 
 __all__ = ["EventGapTracker", "EventGaps", "SpeedClass", "next_speed_class", "usual_gaps"]
 
-#: Times between events remembered, and those that are needed for a figure. A hundred events
-#: come within two seconds at most from an engine with a few streams.
-_MEMORY = 96
-_LEAST = 16
-#: Seconds after which a figure no longer counts: the endpoint may be faster or slower now. As
-#: long as prompt parts are taken for kept, so that their agreed homes do not move meanwhile.
-_LIFE_S = 30.0
-#: Rank among the remembered times that is taken for the undisturbed one: long prompts that are
-#: read beside a stream hold up some of its events, so a mean or median would show the load.
-_QUIET_RANK = 0.25
-#: An event is held up by a prompt that is read when it takes so many times the quiet time.
+_GAP_WINDOW = 96
+#: Gaps that must have been noted since the last estimate before a new one is made.
+_MIN_NEW_GAPS = 16
+#: Time without events after which an estimate expires. Longer than prompt parts are assumed to be
+#: cached, so that preferred endpoints do not move in the meantime.
+_ESTIMATE_LIFETIME_S = 30.0
+#: Quantile of the gaps that counts as undisturbed. It is low because long prompts hold up some of
+#: the events, so a mean or median would measure the load.
+_QUIET_QUANTILE = 0.25
+#: A gap of at least this many times the undisturbed one counts as held up.
 _HELD_UP_FACTOR = 3.0
-#: Held-up events remembered, those needed for a figure, and the rank that stands for a long
-#: pause among them: a stream meets several, so the longer ones count.
-_HELD_UP_MEMORY = 64
-_HELD_UP_LEAST = 12
-_HELD_UP_RANK = 0.95
-#: Ratio to the usual time between events from which an endpoint is slower, and below which it
-#: no longer is. Equal servers differ by a tenth under load; each change moves agreed homes of
-#: prompt parts, so it takes a clear difference.
+_HELD_UP_WINDOW = 64
+_MIN_HELD_UP_GAPS = 12
+#: Quantile of the held-up gaps to report. It is high because a stream meets several of them.
+_HELD_UP_QUANTILE = 0.95
+#: Ratios to the usual gap at which an endpoint becomes slower and stops being slower. Equal engines
+#: differ by a tenth under load, and each change of class moves preferred endpoints.
 _SLOWER_RATIO = 1.18
 _NOT_SLOWER_RATIO = 1.08
-#: The same for an endpoint that crawls: a server at half speed has a fault.
+#: The same for a very slow endpoint, which is probably faulty.
 _CRAWLING_RATIO = 2.0
 _NOT_CRAWLING_RATIO = 1.6
-#: Part of the pause target below which held-up events no longer make an endpoint slower.
-_STILL_LATE = 0.7
+#: Share of the pause target that held-up gaps must exceed for an endpoint to stay slower.
+_STAY_SLOWER_SHARE = 0.7
 
 
 class SpeedClass(Enum):
-    """An endpoint's speed beside that of the others in its pool."""
+    """An endpoint's speed relative to the others of its pool; the names appear in log lines."""
 
     USUAL = 1
     SLOWER = 2
@@ -50,34 +47,33 @@
 
 
 class EventGaps(msgspec.Struct, frozen=True):
-    """Times between events of one endpoint's streams; 0 where not known.
+    """Estimated times between events of one endpoint's streams; 0 where unknown.
 
     Attributes
     ----------
     quiet_gap_ms : float
-        When nothing holds an event up.
+        Typical gap while nothing holds the stream up.
     held_up_gap_ms : float
-        When a prompt is read meanwhile; of several such, the longer ones.
+        Long gap while the engine processes another prompt.
     """
 
     quiet_gap_ms: float = 0.0
     held_up_gap_ms: float = 0.0
 
 
-def usual_gaps(paces: list[EventGaps]) -> EventGaps:
-    """Return the pace that at least half of the endpoints keep to.
+def usual_gaps(gaps: list[EventGaps]) -> EventGaps:
+    """Return the lower median of the endpoints' gaps.
 
-    Held-up events are brought to the usual speed first: on an endpoint that is slower they
-    wait longer by as much.
+    Held-up gaps are scaled to the usual speed first, as they grow with the slowness of an endpoint.
 
     Examples
     --------
     >>> usual_gaps([EventGaps(20.0, 250.0), EventGaps(), EventGaps(30.0, 390.0)])
     EventGaps(quiet_gap_ms=20.0, held_up_gap_ms=250.0)
     """
-    usual_ms = _lower_median([pace.quiet_gap_ms for pace in paces])
+    usual_ms = _lower_median([each.quiet_gap_ms for each in gaps])
     held_up_ms = [
-        pace.held_up_gap_ms * usual_ms / pace.quiet_gap_ms for pace in paces if pace.quiet_gap_ms
+        each.held_up_gap_ms * usual_ms / each.quiet_gap_ms for each in gaps if each.quiet_gap_ms
     ]
     return EventGaps(usual_ms, _lower_median(held_up_ms))
 
@@ -89,12 +85,12 @@
 
 
 def next_speed_class(
-    current: SpeedClass, pace: EventGaps, usual: EventGaps, pause_target_ms: float
+    current: SpeedClass, gaps: EventGaps, usual: EventGaps, pause_target_ms: float
 ) -> SpeedClass:
-    """Return the class of an endpoint now; ``USUAL`` where its pace is not known.
+    """Return the new class of an endpoint; ``USUAL`` where its speed is unknown.
 
-    An endpoint counts as slower only if events that are held up there would wait for
-    longer than the pause that streams should have at most.
+    An endpoint counts as slower only if held-up events would wait there for longer than the pause
+    target.
 
     Examples
     --------
@@ -104,63 +100,65 @@
     >>> next_speed_class(SpeedClass.USUAL, EventGaps(26.0), usual, pause_target_ms=400.0).name
     'USUAL'
     """
-    if not pace.quiet_gap_ms or not usual.quiet_gap_ms:
+    if not gaps.quiet_gap_ms or not usual.quiet_gap_ms:
         return SpeedClass.USUAL
-    ratio = pace.quiet_gap_ms / usual.quiet_gap_ms
-    crawls = current is SpeedClass.CRAWLING
-    if ratio >= (_NOT_CRAWLING_RATIO if crawls else _CRAWLING_RATIO):
+    ratio = gaps.quiet_gap_ms / usual.quiet_gap_ms
+    was_crawling = current is SpeedClass.CRAWLING
+    if ratio >= (_NOT_CRAWLING_RATIO if was_crawling else _CRAWLING_RATIO):
         return SpeedClass.CRAWLING
-    usually = current is SpeedClass.USUAL
-    late = ratio * usual.held_up_gap_ms > pause_target_ms * (1.0 if usually else _STILL_LATE)
-    if late and ratio >= (_SLOWER_RATIO if usually else _NOT_SLOWER_RATIO):
+    was_usual = current is SpeedClass.USUAL
+    late = ratio * usual.held_up_gap_ms > pause_target_ms * (
+        1.0 if was_usual else _STAY_SLOWER_SHARE
+    )
+    if late and ratio >= (_SLOWER_RATIO if was_usual else _NOT_SLOWER_RATIO):
         return SpeedClass.SLOWER
     return SpeedClass.USUAL
 
 
 class EventGapTracker:
-    """Times between the events of one endpoint's streams.
+    """Estimates the times between the events of one endpoint's streams.
 
     Examples
     --------
-    >>> pace = EventGapTracker()
+    >>> tracker = EventGapTracker()
     >>> for gap_ms in [20.0, 20.0, 20.0, 300.0] * 16:
-    ...     pace.note(gap_ms, now_s=7.0)
-    ...     observed = pace.observed(now_s=7.0)
+    ...     tracker.note(gap_ms, now_s=7.0)
+    ...     observed = tracker.observed(now_s=7.0)
     >>> observed.quiet_gap_ms, observed.held_up_gap_ms
     (20.0, 300.0)
-    >>> pace.observed(now_s=60.0).quiet_gap_ms
+    >>> tracker.observed(now_s=60.0).quiet_gap_ms
     0.0
     """
 
-    __slots__ = ("_fresh", "_gaps_ms", "_held_up_ms", "_noted_s", "_quiet_gap_ms")
+    __slots__ = ("_gaps_ms", "_held_up_ms", "_last_noted_s", "_new_gaps", "_quiet_gap_ms")
 
     def __init__(self):
-        self._noted_s = -1e9
-        self._gaps_ms: deque[float] = deque(maxlen=_MEMORY)
-        self._held_up_ms: deque[float] = deque(maxlen=_HELD_UP_MEMORY)
-        self._fresh = 0
+        self._last_noted_s = -1e9
+        self._gaps_ms: deque[float] = deque(maxlen=_GAP_WINDOW)
+        self._held_up_ms: deque[float] = deque(maxlen=_HELD_UP_WINDOW)
+        self._new_gaps = 0
         self._quiet_gap_ms = 0.0
 
     def note(self, gap_ms: float, now_s: float) -> None:
-        """Count the time between two events of one stream."""
-        self._noted_s = now_s
+        """Record the time between two events of one stream."""
+        self._last_noted_s = now_s
         self._gaps_ms.append(gap_ms)
-        self._fresh += 1
+        self._new_gaps += 1
         if self._quiet_gap_ms and gap_ms > _HELD_UP_FACTOR * self._quiet_gap_ms:
             self._held_up_ms.append(gap_ms)
 
     def observed(self, now_s: float) -> EventGaps:
-        """Return the pace as of now; nothing is known of it until enough was seen."""
-        if now_s - self._noted_s > _LIFE_S:
+        """Return the current estimate; gaps are 0 until enough of them were noted."""
+        if now_s - self._last_noted_s > _ESTIMATE_LIFETIME_S:
             return EventGaps()
-        if self._fresh >= _LEAST:
-            self._fresh = 0
+        if self._new_gaps >= _MIN_NEW_GAPS:
+            self._new_gaps = 0
             ranked = sorted(self._gaps_ms)
-            self._quiet_gap_ms = ranked[int(_QUIET_RANK * len(ranked))]
+            self._quiet_gap_ms = ranked[int(_QUIET_QUANTILE * len(ranked))]
         return EventGaps(self._quiet_gap_ms, self._long_held_up_ms())
 
     def _long_held_up_ms(self) -> float:
-        if len(self._held_up_ms) < _HELD_UP_LEAST:
+        if len(self._held_up_ms) < _MIN_HELD_UP_GAPS:
             return 0.0
         ranked = sorted(self._held_up_ms)
-        return ranked[int(_HELD_UP_RANK * len(ranked))]
+        return ranked[int(_HELD_UP_QUANTILE * len(ranked))]
