--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -118,7 +118,7 @@
         while len(self._parts) > _MAX_PARTS:
             self._parts.popitem(last=False)
 
-    def kept_tokens(self, prompt: Prompt, now_s: float) -> int:
+    def cached_tokens(self, prompt: Prompt, now_s: float) -> int:
         """Return how many leading tokens of a prompt own requests have put into the cache."""
         cached = 0
         for part in prompt.parts:
