--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Chooses an endpoint for a request, from what this router and its peers know.
+"""Chooses an endpoint for a request, by load and cached prompt parts.
 
-The cost of an engine is the time until a new prompt is read there: what is
-being read already, and the parts of this prompt that the engine does not keep.
-Shared parts weigh more than their time, so that they are read again seldom.
-Which engine keeps a part that nobody here has sent is guessed by rendezvous
-hashing, so that all routers guess alike.
+The cost of an engine is the time until it has processed a new prompt: its backlog, and the parts of
+this prompt that it has not cached. Shared parts weigh more than the time they take, so that few
+engines process the same part. For a part that this router has not sent yet, rendezvous hashing
+gives the preferred endpoint, which all routers agree on.
 """
 
 import math
@@ -31,57 +30,56 @@
 
 __all__ = ["ChoiceRule", "EndpointBook", "EndpointChoice", "PoolShortage"]
 
-#: Prompt tokens that an engine reads in a millisecond, until measured.
+#: Prompt processing speed assumed for engines.
 _PREFILL_TOKENS_PER_MS = 50.0
-#: Milliseconds that a request already there adds to a new one's cost.
+#: Cost of each request that an endpoint is already running.
 _COST_OF_RUNNING_MS = 1.5
-#: Milliseconds that a request waiting for a place adds, on plain services.
-_COST_OF_PLACE_MS = 60.0
-#: Costs that differ by less are taken for equal.
+#: Cost of each request beyond an endpoint's slots.
+_COST_OF_QUEUED_MS = 60.0
+#: Range of the random addition that breaks ties between similar costs.
 _TIE_MS = 0.5
-#: Share of a prompt part that an agreed home is taken to keep.
-_HOME_TRUST = 1.0
-#: Prompts from this size on are long: engines read prompts in pieces of some 2,000 tokens
-#: between the tokens of others, so several events in a row wait for a longer one.
+#: Share of a prompt's shared parts that its preferred endpoint is assumed to have cached.
+_PREFERRED_CACHED_SHARE = 1.0
+#: Prompts of at least this size are long. Engines process prompts in chunks of about 2,000 tokens
+#: between the tokens of other streams, so a longer prompt delays several events in a row.
 _LONG_PROMPT_TOKENS = 4_000
-#: What a long prompt costs on a slower engine, where it holds all streams up for too long.
+#: Cost of a long prompt on a slower engine, where it would hold up all streams for too long.
 _COST_OF_LONG_ON_SLOWER_MS = 800.0
-#: What a short one costs where long ones are read, if slower engines have none of them.
+#: Cost of a short prompt on an engine of usual speed, which also processes long prompts.
 _COST_OF_SHORT_BESIDE_LONG_MS = 30.0
-#: Seconds between two looks at the engines' speeds; peers tell theirs as often.
-_CLASSIFY_PERIOD_S = 0.25
-#: What anything costs on an engine that crawls.
+#: Time between two classifications of the engines; peers report their measurements as often.
+_CLASSIFY_INTERVAL_S = 0.25
+#: Cost of any prompt on a very slow engine.
 _COST_OF_CRAWLING_MS = 200.0
-#: Entries of a pool that go at once, as a number and as a share, and are taken to have lapsed with
-#: the store: releases and scaling take single ones away.
-_LAPSED_LEAST = 2
-_LAPSED_SHARE = 0.25
-#: Most by which a rest that an endpoint asked for is lengthened, each router by its own draw: else
-#: all of them would come back in the same moment.
-_REST_SPREAD = 1.25
-#: Endpoints without an entry that are remembered, so that one whose entry only lapsed is as warm as
-#: it was when it is back, and what it said of itself holds on.
-_LEFT_LIMIT = 1_000
+#: Number and share of a pool's entries that must be missing at once to count as lapsed because of
+#: the store; releases and scaling remove entries one by one.
+_MIN_LAPSED = 2
+_MIN_LAPSED_SHARE = 0.25
+#: Upper bound of the random factor that lengthens a requested backoff, so that routers do not all
+#: return at the same time.
+_MAX_BACKOFF_JITTER = 1.25
+#: Limit of removed endpoints whose warm-up state and availability are kept in case their entries
+#: return.
+_MAX_REMOVED = 1_000
 
 
 class ChoiceRule(msgspec.Struct, frozen=True):
-    """What the choice of an endpoint takes into account.
+    """Which criteria the choice of an endpoint uses, and their weights.
 
     Attributes
     ----------
-    homes : int
-        Agreed homes of a prompt part; 0: none.
+    preferred_endpoints : int
+        Number of preferred endpoints of a prompt part; 0 for none.
     reread_weight : float
-        How much more it costs to read a shared part where it is not kept, than to read
-        anything else: that time is taken from all that run there, and a kept copy elsewhere
-        lies idle.
+        Factor on the cost of processing a shared part where it is not cached. Doing so delays
+        all requests there and leaves a cached copy elsewhere unused.
     zone_cost_ms : float
-        Milliseconds that another zone adds.
+        Cost of an endpoint in another zone.
     rests : bool
-        Whether endpoints that fail rest.
+        Whether endpoints that fail are avoided for a while.
     weighs_pace : bool
-        Whether long prompts keep away from engines that are slower than most, and short
-        ones go there.
+        Whether long prompts avoid engines that are slower than most, and short prompts prefer
+        them.
     """
 
     preferred_endpoints: int = 1
@@ -92,14 +90,20 @@
 
 
 class EndpointChoice(msgspec.Struct, frozen=True):
-    """The endpoint chosen, what it costs and among how many.
+    """The chosen endpoint.
 
     Attributes
     ----------
+    record : EndpointRecord
+        Record of the endpoint.
+    cost_ms : float
+        Its cost for the request.
+    candidates : int
+        Number of endpoints that it was chosen from.
     cached_tokens : int
-        Tokens of the prompt that own requests have read there lately.
+        Tokens of the prompt that this router's recent requests have put into its cache.
     queue_ms : float
-        How long an engine will read what is queued there, as far as is known; 0 on plain services.
+        Estimated time that an engine takes to process its queue; 0 for plain services.
     """
 
     record: EndpointRecord
@@ -109,54 +113,63 @@
     queue_ms: float = 0.0
 
 
-class _LeftEndpoint(msgspec.Struct, frozen=True):
-    """What is kept of an endpoint whose entry went, in case it comes back."""
+class _RemovedEndpoint(msgspec.Struct, frozen=True):
+    """State of a removed endpoint, kept in case its entry returns."""
 
     address: str
     warm_up: WarmUp
     availability: Availability
 
     @classmethod
-    def from_record(cls, record: EndpointRecord) -> "_LeftEndpoint":
-        """Return what is kept of a record."""
+    def from_record(cls, record: EndpointRecord) -> "_RemovedEndpoint":
+        """Return the state to keep of a record."""
         return cls(record.entry.address, record.warm_up, record.availability)
 
 
 class PoolShortage(msgspec.Struct, frozen=True):
-    """Why no endpoint of a pool takes work, and when the first one does; inf if none will."""
+    """Why no endpoint of a pool accepts requests, and how long until one does.
+
+    Attributes
+    ----------
+    reason : Reason
+        Why the endpoint that accepts requests first does not accept them now.
+    opens_in_s : float
+        Time until it does; infinite if none will.
+    """
 
     reason: Reason
     opens_in_s: float
 
 
-_NEVER = PoolShortage(Reason.NO_ENDPOINT, math.inf)
+_NO_ENDPOINT = PoolShortage(Reason.NO_ENDPOINT, math.inf)
 
 
 class EndpointBook:
-    """The endpoints known, and the choice among them.
+    """The known endpoints, and the choice among them.
 
     Parameters
     ----------
     zone : str
         This router's zone.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     make_pool : callable
-        Returns the connections to an ``IP:port``, whose answers' heads go to the second argument.
+        Returns the connection pool of an ``IP:port``; takes the address and a callback for the
+        heads of answers.
     peer_loads : callable
-        Returns by endpoint's incarnation what all peers have in flight.
-    draw : random.Random
-        Breaks ties.
+        Returns the requests of all peers in flight, by the endpoints' incarnations.
+    rng : random.Random
+        Breaks ties and adds jitter.
     rule : ChoiceRule, optional
-        What the choice takes into account.
+        Criteria of the choice.
     warm_up_of : callable, optional
-        Returns how endpoints of a pool start, None where that makes no difference.
+        Returns the warm-up traits of a pool, None if its endpoints need no warm-up.
     shares : WarmUpShares, optional
-        Deals out what cold endpoints bear; needed with ``warm_up_of``.
+        Divides the rates of cold endpoints; required with ``warm_up_of``.
     dialect : Dialect, optional
-        Names on the wire of what endpoints say of themselves.
+        Header names of endpoints' feedback.
     limits : RateLimits, optional
-        This router's part of the rates that endpoints name; without it they are not kept to.
+        This router's shares of the endpoints' rate limits; without it they are ignored.
     """
 
     def __init__(
@@ -165,7 +178,7 @@
         clock: Callable[[], float],
         make_pool,
         peer_loads,
-        draw: random.Random,
+        rng: random.Random,
         rule: ChoiceRule | None = None,
         warm_up_of: Callable[[str], WarmUpTraits | None] = lambda pool: None,
         shares: WarmUpShares | None = None,
@@ -173,7 +186,7 @@
         limits: RateLimits | None = None,
     ):
         self._rule = rule or ChoiceRule()
-        self._draw = draw
+        self._rng = rng
         self._zone = zone
         self._clock = clock
         self._make_pool = make_pool
@@ -186,35 +199,35 @@
         self._limits = limits
         self._drained: frozenset[str] = frozenset()
         self._entries_known = False
-        self._left: OrderedDict[str, _LeftEndpoint] = OrderedDict()
-        #: Called with record, its pace and the usual one when a pace class has changed.
+        self._removed: OrderedDict[str, _RemovedEndpoint] = OrderedDict()
+        #: Called with the record, its gaps and the usual ones when its speed class has changed.
         self.on_speed_class: Callable[[EndpointRecord, EventGaps, EventGaps], None]
-        self.on_speed_class = _told_nobody
+        self.on_speed_class = _ignore_change
         self._dialect = dialect or Dialect()
-        #: Called with record, hold and the answer's headers when an answer says that its endpoint
-        #: is to be sent nothing.
+        #: Called with the record, the reason and the answer's headers when an endpoint's feedback
+        #: makes it unavailable.
         self.on_feedback: Callable[[EndpointRecord, UnavailableReason, HeaderList], None]
-        self.on_feedback = _told_nobody
-        #: Called with record, limit and the answer's headers when an answer names another rate
-        #: limit, or none (None) any more.
+        self.on_feedback = _ignore_change
+        #: Called with the record, the limit and the answer's headers when an endpoint changes its
+        #: rate limit; the limit is None when it is lifted.
         self.on_rate_limit: Callable[[EndpointRecord, float | None, HeaderList], None]
-        self.on_rate_limit = _told_nobody
+        self.on_rate_limit = _ignore_change
 
     def set_entries(self, entries: dict[str, EndpointEntry], store_was_away: bool = False) -> None:
-        """Take in all endpoints; what is known of those that stay is kept.
+        """Replace all entries; records of endpoints that remain are kept.
 
-        One that was born again under its id does not stay: its failures, its rest and the prompt
-        parts that it kept were its earlier process's.
+        An endpoint restarted under the same id gets a new record, since failures, backoff and
+        cached prompt parts belong to the earlier process.
 
-        ``store_was_away`` tells that the store was not reached until just now.
+        ``store_was_away`` tells that the store was unreachable until just now.
         """
-        spared = self._lapsed_together(entries, store_was_away)
+        retained = self._retained_incarnations(entries, store_was_away)
         for record in list(self._records.values()):
             entry = entries.get(record.endpoint_id)
-            if entry is None and record.incarnation in spared:
+            if entry is None and record.incarnation in retained:
                 record.mark_lapsed(self._clock())
             elif entry is None or not record.matches_entry(entry):
-                self._forget(record)
+                self._remove(record)
             else:
                 record.lapsed_s = None
                 if entry != record.entry:
@@ -230,15 +243,17 @@
         for record in self._records.values():
             self._by_pool.setdefault(record.entry.pool, []).append(record)
 
-    def _lapsed_together(self, entries: dict[str, EndpointEntry], store_was_away: bool) -> set[str]:
-        """Return the endpoints that keep their work for a while though their entries are gone.
+    def _retained_incarnations(
+        self, entries: dict[str, EndpointEntry], store_was_away: bool
+    ) -> set[str]:
+        """Return the endpoints that stay in use for a while although their entries are missing.
 
-        Entries lapse while the store is away, and are back within two seconds of its return if
-        the endpoint lives. Many that go at once then, without having said that they leave,
-        tell of that rather than of so many ends.
+        Entries lapse while the store is away, and live endpoints renew them within two seconds of
+        its return. If many entries are missing at that moment and their endpoints were not
+        draining, an outage of the store is likelier than that many ends.
         """
         now_s = self._clock()
-        spared = set()
+        retained = set()
         for records in self._by_pool.values():
             missing = [
                 record
@@ -246,64 +261,64 @@
                 if record.endpoint_id not in entries and not record.availability.draining
             ]
             many = store_was_away and len(missing) >= max(
-                _LAPSED_LEAST, _LAPSED_SHARE * len(records)
+                _MIN_LAPSED, _MIN_LAPSED_SHARE * len(records)
             )
-            spared.update(
+            retained.update(
                 record.incarnation
                 for record in missing
                 if (many and record.lapsed_s is None) or record.may_return(now_s)
             )
-        return spared
+        return retained
 
     def drop_lapsed(self) -> None:
-        """Forget endpoints whose entries did not come back in time."""
+        """Remove endpoints whose entries did not return in time."""
         now_s = self._clock()
         for record in list(self._records.values()):
             if record.lapsed_s is not None and not record.may_return(now_s):
-                self._forget(record)
+                self._remove(record)
                 self._by_pool[record.entry.pool].remove(record)
 
-    def _forget(self, record: EndpointRecord) -> None:
+    def _remove(self, record: EndpointRecord) -> None:
         record.pool.close()
         del self._records[record.incarnation]
-        self._left[record.incarnation] = _LeftEndpoint.from_record(record)
-        while len(self._left) > _LEFT_LIMIT:
-            self._left.popitem(last=False)
+        self._removed[record.incarnation] = _RemovedEndpoint.from_record(record)
+        while len(self._removed) > _MAX_REMOVED:
+            self._removed.popitem(last=False)
 
     def _add(self, entry: EndpointEntry) -> None:
-        left = self._left.pop(entry.incarnation, None)
-        warm_up = left.warm_up if left is not None else None
+        removed = self._removed.pop(entry.incarnation, None)
+        warm_up = removed.warm_up if removed is not None else None
         if warm_up is None:
             warm_up = WarmUp(self._clock)
             if self._entries_known:
-                # It has just started, whether or not its entry says that it is cold.
+                # A new endpoint is cold even if its entry does not say so.
                 warm_up.note_cold(self._cold_s(entry.pool))
         warm_up.note_cold(entry.cold_left_s)
-        record = EndpointRecord(entry, self._make_pool, warm_up, self._head_received)
+        record = EndpointRecord(entry, self._make_pool, warm_up, self._apply_feedback)
         self._records[entry.incarnation] = record
-        if left is not None and left.address == entry.address:
-            # What it said holds on, though its entry lapsed with the store meanwhile.
-            record.availability = left.availability
+        if removed is not None and removed.address == entry.address:
+            # Its feedback remains valid although its entry lapsed in the meantime.
+            record.availability = removed.availability
             record.availability.entry_draining = entry.leaving
 
-    def _head_received(self, record: EndpointRecord, status: int, headers: HeaderList) -> None:
-        """Take in what an endpoint says of itself in the head of any answer."""
-        word = parse_feedback(status, headers, self._dialect)
-        if word is None:
+    def _apply_feedback(self, record: EndpointRecord, status: int, headers: HeaderList) -> None:
+        """Apply the feedback in the head of any answer of an endpoint."""
+        feedback = parse_feedback(status, headers, self._dialect)
+        if feedback is None:
             return
-        spread = self._draw.uniform(1.0, _REST_SPREAD)
-        news = record.availability.apply_feedback(word, self._clock(), spread)
-        if news is not None:
-            self.on_feedback(record, news, headers)
-        if word.limit_per_s is None or self._limits is None:
+        jitter = self._rng.uniform(1.0, _MAX_BACKOFF_JITTER)
+        reason = record.availability.apply_feedback(feedback, self._clock(), jitter)
+        if reason is not None:
+            self.on_feedback(record, reason, headers)
+        if feedback.limit_per_s is None or self._limits is None:
             return
-        if self._limits.name(record.incarnation, word.limit_per_s):
-            self.on_rate_limit(record, word.limit_per_s, headers)
+        if self._limits.name(record.incarnation, feedback.limit_per_s):
+            self.on_rate_limit(record, feedback.limit_per_s, headers)
 
     def note_success(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
-        """Take in the head of a success; one that names no rate limit may lift it.
+        """Process the head of a successful answer; one without a rate limit may lift the limit.
 
-        Failures lift none: they may be made before the endpoint has its say.
+        Failures lift no limit, since they may be generated before the endpoint sets its headers.
         """
         if self._limits is None or header_values(headers, self._dialect.rate_limit):
             return
@@ -311,10 +326,10 @@
             self.on_rate_limit(record, None, headers)
 
     def claim_send(self, record: EndpointRecord) -> UnavailableReason | None:
-        """Note that a request is about to leave; return why it must not, None if it may.
+        """Return why a request must not be sent; None if it may, and then count it as sent.
 
-        Asked right before the first byte: while a connection was being opened, the endpoint may
-        have spoken, and others of this router's requests may have left.
+        Called right before the first byte is written. While the connection was being opened, the
+        endpoint may have sent feedback, and other requests of this router may have been sent.
         """
         unavailable_reason = record.availability.unavailable_reason(self._clock())
         if unavailable_reason is not None or self._limits is None:
@@ -325,12 +340,12 @@
         return None
 
     def _cold_s(self, pool: str) -> float:
-        """Return how long an endpoint of a pool is cold after a start."""
+        """Return how long endpoints of a pool are cold after a start."""
         traits = self._warm_up_of(pool)
         return traits.cold_s if traits is not None else 0.0
 
     def set_drained_zones(self, zones: frozenset[str]) -> None:
-        """Send nothing new to these zones; endpoints of those taken back may be cold."""
+        """Send nothing new to these zones; endpoints of zones no longer drained count as cold."""
         for record in self._records.values():
             zone = record.entry.zone
             if zone in self._drained and zone not in zones:
@@ -346,47 +361,47 @@
         return self._records.get(incarnation)
 
     def incarnations_with_entry(self) -> set[str]:
-        """Return the incarnations of the endpoints that have an entry."""
+        """Return the incarnations of the endpoints that have an entry now."""
         return {record.incarnation for record in self._records.values() if record.lapsed_s is None}
 
     def loads(self) -> list[EndpointLoad]:
-        """Return what this router has in flight, for its peers."""
+        """Return this router's own load on the endpoints, to report to peers."""
         now_s = self._clock()
         return [_load_of(record, now_s) for record in self._records.values() if record.in_flight]
 
     def has_other(self, pool: str, excluded: set[str]) -> bool:
-        """Tell whether an endpoint takes work besides those in ``without``."""
+        """Tell whether an endpoint outside ``excluded`` accepts requests."""
         return bool(self._candidates(pool, excluded))
 
     def _candidates(self, pool: str, excluded: set[str]) -> list[EndpointRecord]:
         now_s = self._clock()
-        found = [
+        candidates = [
             record
             for record in self._by_pool.get(pool, ())
             if record.availability.unavailable_reason(now_s) is None
             and record.incarnation not in excluded
-            and self._stands(record, now_s)
+            and self._is_present(record, now_s)
             and self._is_within_limit(record)
         ]
         traits = self._warm_up_of(pool)
         if traits is None:
-            return found
-        return [record for record in found if self._is_warm_enough(record, traits)]
+            return candidates
+        return [record for record in candidates if self._is_warm_enough(record, traits)]
 
-    def _stands(self, record: EndpointRecord, now_s: float) -> bool:
-        """Tell whether an endpoint has an entry and its zone gets work."""
+    def _is_present(self, record: EndpointRecord, now_s: float) -> bool:
+        """Tell whether an endpoint has an entry, or may regain it, and its zone is not drained."""
         if record.entry.zone in self._drained:
             return False
         return record.lapsed_s is None or record.may_return(now_s)
 
     def _is_within_limit(self, record: EndpointRecord) -> bool:
-        """Tell whether a rate limit that the endpoint names lets this router send a request."""
+        """Tell whether the endpoint's rate limit lets this router send a request now."""
         if self._limits is None or not self._limits.is_limited(record.incarnation):
             return True
         return not record.opening and self._limits.opens_in_s(record.incarnation) <= 0
 
     def _is_warm_enough(self, record: EndpointRecord, traits: WarmUpTraits) -> bool:
-        """Tell whether an endpoint that may be cold bears a request of this router now."""
+        """Tell whether the endpoint's warm-up state lets this router send a request now."""
         if record.warm_up.ramp_finished(self._shares.members):
             return True
         allowance = self._shares.allowance(record.endpoint_id, traits.requests_per_s)
@@ -401,28 +416,28 @@
         ]
 
     def shortage(self, pool: str) -> PoolShortage | None:
-        """Return why no endpoint of a pool takes work, None if one does."""
+        """Return why no endpoint of a pool accepts requests; None if one does."""
         now_s = self._clock()
-        waits = [
-            self._wait_for(record, now_s)
+        shortages = [
+            self._shortage_of(record, now_s)
             for record in self._by_pool.get(pool, ())
-            if self._stands(record, now_s)
+            if self._is_present(record, now_s)
             and record.availability.unavailable_reason(now_s)
             not in (UnavailableReason.REPLACED, UnavailableReason.DRAINING)
         ]
-        first = min(waits, key=lambda wait: wait.opens_in_s, default=_NEVER)
+        first = min(shortages, key=lambda shortage: shortage.opens_in_s, default=_NO_ENDPOINT)
         return first if first.opens_in_s > 0 else None
 
-    def _wait_for(self, record: EndpointRecord, now_s: float) -> PoolShortage:
-        """Return how long an endpoint takes no work, and why."""
+    def _shortage_of(self, record: EndpointRecord, now_s: float) -> PoolShortage:
+        """Return why an endpoint accepts no requests, and for how long."""
         limited = self._limits is not None and not self._is_within_limit(record)
         limited_for_s = self._limits.callers_wait_s(record.incarnation) if limited else 0.0
-        waits = (
+        shortages = (
             PoolShortage(Reason.ENDPOINTS_BACKING_OFF, record.availability.backoff_left_s(now_s)),
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
             PoolShortage(Reason.ENDPOINTS_RATE_LIMITED, limited_for_s),
         )
-        return max(waits, key=lambda wait: wait.opens_in_s)
+        return max(shortages, key=lambda shortage: shortage.opens_in_s)
 
     def choose(
         self,
@@ -432,15 +447,15 @@
         excluded: set[str],
         pause_target_s: float | None = None,
     ) -> "EndpointChoice | None":
-        """Return the endpoint with the least cost, or None when none takes work.
+        """Return the endpoint with the lowest cost; None if no endpoint accepts requests.
 
-        ``pause_target_s`` is the longest pause that the pool's streams should have; None
-        leaves the engines' speeds out of account.
+        ``pause_target_s`` is the target for the longest pause in the pool's streams; with None the
+        engines' speeds are not considered.
         """
         now_s = self._clock()
         candidates = self._candidates(pool, excluded)
-        trusted = [record for record in candidates if self._is_trusted(record, now_s)]
-        candidates = trusted or candidates
+        healthy = [record for record in candidates if self._is_healthy(record, now_s)]
+        candidates = healthy or candidates
         if not candidates:
             return None
         loads = self._peer_loads()
@@ -448,56 +463,58 @@
             costs = [(self._service_cost_ms(record, loads), record) for record in candidates]
         else:
             costs = self._engine_costs(pool, prompt, candidates, loads, now_s, pause_target_s)
-        cost_ms, record = min(costs, key=lambda cost: cost[0] + self._draw.random() * _TIE_MS)
-        kept = record.cached_tokens(prompt, now_s)
+        cost_ms, record = min(costs, key=lambda cost: cost[0] + self._rng.random() * _TIE_MS)
+        cached = record.cached_tokens(prompt, now_s)
         record.warm_up.note_sent()
-        chosen = EndpointChoice(record, round(cost_ms, 1), len(candidates), kept)
+        chosen = EndpointChoice(record, round(cost_ms, 1), len(candidates), cached)
         if traits is None:
             return chosen
         queue_ms = _queue_ms(record, loads.get(record.incarnation))
         return msgspec.structs.replace(chosen, queue_ms=round(queue_ms, 1))
 
     def shortest_queue_ms(self, pool: str) -> float:
-        """Return for how long the least loaded engine that takes work reads what is queued there.
+        """Return the queue time of the least loaded engine that accepts requests.
 
-        The engine that is chosen may have a longer queue, since it keeps parts of the prompt.
+        The chosen engine may have a longer queue, because it has cached parts of the prompt.
         """
         loads = self._peer_loads()
         candidates = self._candidates(pool, set())
-        return min((_queue_ms(one, loads.get(one.incarnation)) for one in candidates), default=0.0)
+        return min(
+            (_queue_ms(record, loads.get(record.incarnation)) for record in candidates), default=0.0
+        )
 
     def _engine_costs(self, pool, prompt: Prompt, candidates, loads, now_s, pause_target_s):
         """Return the cost of each candidate engine with its record."""
         if self._rule.weighs_pace and pause_target_s is not None:
             self._classify(pool, loads, now_s, pause_target_s * 1_000)
-        preferred_endpoints = _homes(
-            prompt, _fit_to_keep(prompt, candidates), self._rule.preferred_endpoints
+        preferred_ids = _preferred_ids(
+            prompt, _preferable(prompt, candidates), self._rule.preferred_endpoints
         )
         return [
             (
-                self._engine_cost_ms(record, prompt, loads, preferred_endpoints, now_s)
-                + _pace_cost_ms(prompt, record.speed_class),
+                self._engine_cost_ms(record, prompt, loads, preferred_ids, now_s)
+                + _speed_cost_ms(prompt, record.speed_class),
                 record,
             )
             for record in candidates
         ]
 
     def _classify(self, pool: str, loads, now_s: float, pause_target_ms: float) -> None:
-        """Bring the engines' pace classes up to date, by own streams and what peers tell."""
-        if now_s - self._classified_s.get(pool, -1e9) < _CLASSIFY_PERIOD_S:
+        """Update the engines' speed classes from own streams and the reports of peers."""
+        if now_s - self._classified_s.get(pool, -1e9) < _CLASSIFY_INTERVAL_S:
             return
         self._classified_s[pool] = now_s
         records = self._by_pool[pool]
-        paces = [self._observed_pace(record, loads, now_s) for record in records]
-        usual = usual_gaps(paces)
-        for record, gap_tracker in zip(records, paces, strict=True):
-            found = next_speed_class(record.speed_class, gap_tracker, usual, pause_target_ms)
-            if found is not record.speed_class:
-                record.speed_class = found
-                self.on_speed_class(record, gap_tracker, usual)
+        observed = [self._observed_gaps(record, loads, now_s) for record in records]
+        usual = usual_gaps(observed)
+        for record, gaps in zip(records, observed, strict=True):
+            speed_class = next_speed_class(record.speed_class, gaps, usual, pause_target_ms)
+            if speed_class is not record.speed_class:
+                record.speed_class = speed_class
+                self.on_speed_class(record, gaps, usual)
 
     @staticmethod
-    def _observed_pace(record: EndpointRecord, loads, now_s: float) -> EventGaps:
+    def _observed_gaps(record: EndpointRecord, loads, now_s: float) -> EventGaps:
         own = record.gap_tracker.observed(now_s)
         load = loads.get(record.incarnation)
         if load is None:
@@ -506,68 +523,66 @@
             max(own.quiet_gap_ms, load.quiet_gap_ms), max(own.held_up_gap_ms, load.held_up_gap_ms)
         )
 
-    def _is_trusted(self, record: EndpointRecord, now_s: float) -> bool:
+    def _is_healthy(self, record: EndpointRecord, now_s: float) -> bool:
         return not self._rule.rests or record.availability.is_healthy(now_s, record.in_flight)
 
     def _service_cost_ms(self, record: EndpointRecord, loads) -> float:
         load = loads.get(record.incarnation)
         running = record.in_flight + (load.requests if load is not None else 0)
         waiting = max(0, running + 1 - record.entry.slots)
-        cost_ms = running + waiting * _COST_OF_PLACE_MS / max(1, record.entry.slots)
+        cost_ms = running + waiting * _COST_OF_QUEUED_MS / max(1, record.entry.slots)
         return cost_ms + self._zone_cost_ms(record)
 
-    def _engine_cost_ms(
-        self, record, prompt: Prompt, loads, preferred_endpoints, now_s: float
-    ) -> float:
+    def _engine_cost_ms(self, record, prompt: Prompt, loads, preferred_ids, now_s: float) -> float:
         load = loads.get(record.incarnation)
         running = record.in_flight
         backlog = record.prefill_tokens
         if load is not None:
             running += load.requests
             backlog += load.prefill_tokens
-        kept = record.cached_tokens(prompt, now_s)
-        if record.endpoint_id in preferred_endpoints:
-            kept = max(kept, int(_HOME_TRUST * prompt.shared_tokens))
-        unread = max(0, prompt.tokens - kept)
-        reread = max(0, prompt.shared_tokens - kept)
-        weighed = unread + (self._rule.reread_weight - 1.0) * reread
-        cost_ms = (backlog + weighed) / _PREFILL_TOKENS_PER_MS + running * _COST_OF_RUNNING_MS
+        cached = record.cached_tokens(prompt, now_s)
+        if record.endpoint_id in preferred_ids:
+            cached = max(cached, int(_PREFERRED_CACHED_SHARE * prompt.shared_tokens))
+        uncached = max(0, prompt.tokens - cached)
+        uncached_shared = max(0, prompt.shared_tokens - cached)
+        weighted = uncached + (self._rule.reread_weight - 1.0) * uncached_shared
+        cost_ms = (backlog + weighted) / _PREFILL_TOKENS_PER_MS + running * _COST_OF_RUNNING_MS
         over = max(0, running + 1 - record.entry.slots)
-        return cost_ms + over * _COST_OF_PLACE_MS + self._zone_cost_ms(record)
+        return cost_ms + over * _COST_OF_QUEUED_MS + self._zone_cost_ms(record)
 
     def _zone_cost_ms(self, record: EndpointRecord) -> float:
         return 0.0 if record.entry.zone == self._zone else self._rule.zone_cost_ms
 
 
 def _load_of(record: EndpointRecord, now_s: float) -> EndpointLoad:
-    gap_tracker = record.gap_tracker.observed(now_s)
+    gaps = record.gap_tracker.observed(now_s)
     return EndpointLoad(
         record.incarnation,
         record.in_flight,
         record.prefill_tokens,
-        round(gap_tracker.quiet_gap_ms, 1),
-        round(gap_tracker.held_up_gap_ms, 1),
+        round(gaps.quiet_gap_ms, 1),
+        round(gaps.held_up_gap_ms, 1),
     )
 
 
 def _queue_ms(record: EndpointRecord, load: EndpointLoad | None) -> float:
-    """Return how long an engine will read what this router and its peers have sent there."""
+    """Return how long an engine will process the prompts queued by this router and its peers."""
     backlog = record.prefill_tokens + (load.prefill_tokens if load is not None else 0)
     running = record.in_flight + (load.requests if load is not None else 0)
     over = max(0, running + 1 - record.entry.slots)
-    return backlog / _PREFILL_TOKENS_PER_MS + over * _COST_OF_PLACE_MS
+    return backlog / _PREFILL_TOKENS_PER_MS + over * _COST_OF_QUEUED_MS
 
 
-def _fit_to_keep(prompt: Prompt, candidates: list[EndpointRecord]) -> list[EndpointRecord]:
-    """Return the candidates among which the agreed home of a prompt is chosen."""
+def _preferable(prompt: Prompt, candidates: list[EndpointRecord]) -> list[EndpointRecord]:
+    """Return the candidates that may be preferred endpoints of a prompt."""
     if prompt.tokens < _LONG_PROMPT_TOKENS:
         return candidates
     usual = [record for record in candidates if record.speed_class is SpeedClass.USUAL]
     return usual or candidates
 
 
-def _pace_cost_ms(prompt: Prompt, speed_class: SpeedClass) -> float:
-    """Return what an engine's speed adds to the cost of a prompt there."""
+def _speed_cost_ms(prompt: Prompt, speed_class: SpeedClass) -> float:
+    """Return what the speed class of an engine adds to the cost of a prompt."""
     if speed_class is SpeedClass.CRAWLING:
         return _COST_OF_CRAWLING_MS
     if prompt.tokens >= _LONG_PROMPT_TOKENS:
@@ -575,15 +590,15 @@
     return _COST_OF_SHORT_BESIDE_LONG_MS if speed_class is SpeedClass.USUAL else 0.0
 
 
-def _told_nobody(record: EndpointRecord, *what) -> None:
-    """Stand in where nobody wants to know of changes."""
+def _ignore_change(record: EndpointRecord, *details) -> None:
+    """Do nothing; the default callback for changes."""
 
 
-def _homes(prompt: Prompt, candidates: list[EndpointRecord], count: int) -> set[str]:
-    """Return the agreed homes of the last shared part of a prompt."""
+def _preferred_ids(prompt: Prompt, candidates: list[EndpointRecord], count: int) -> set[str]:
+    """Return the ids of the preferred endpoints of a prompt's last shared part."""
     if len(prompt.parts) < 2:
         return set()
     key = str(prompt.parts[-2].prefix_hash)
-    names = [record.endpoint_id for record in candidates]
-    names.sort(key=lambda name: rendezvous_weight(key, name), reverse=True)
-    return set(names[:count])
+    ids = [record.endpoint_id for record in candidates]
+    ids.sort(key=lambda endpoint_id: rendezvous_weight(key, endpoint_id), reverse=True)
+    return set(ids[:count])
