--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -1,10 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Beyond capacity: what callers get from engines that read prompts one after the other.
+"""Admission during a burst of several times the engines' capacity.
 
-The load: a wave of several times what the engines can read, for three seconds, with the usual
-traffic before and after. Without admission the queue grows until all that is in it is late, and
-what is late still takes its turn: of 225 requests of a wave of five times capacity 14 began within
-the target, and 46 do with it; 45 can be read in that time.
+Guards against queues in which every request misses its target.
 """
 
 import pytest
@@ -14,29 +11,28 @@
 from turnward.gateway.tests.harness import KEY, Harness, answer_head, answered, encode_events
 from turnward.gateway.tests.test_forwarding import reason
 
-#: Prompt tokens that an engine reads in a millisecond, and of each request.
 TOKENS_PER_MS = 50
 PROMPT_TOKENS = 10_000
 ENGINES = 3
-#: Requests that all engines together can read in a second.
+#: Requests per second that all engines together can process.
 CAPACITY_PER_S = ENGINES * TOKENS_PER_MS * 1_000 / PROMPT_TOKENS
 TARGET_S = 0.8
-WAVE_S = 3.0
+BURST_S = 3.0
 POOL = EndpointPool(name="pool", engine=EngineTraits(slots=64, event_tokens=5))
 
 
-class ReadingEngine:
-    """An engine that reads prompts in the order in which they come."""
+class SerialEngine:
+    """An engine that processes prompts one after the other, in order of arrival."""
 
     def __init__(self, harness):
         self._free_s = 0.0
-        self.endpoint = harness.endpoint(self._take, announce=False)
+        self.endpoint = harness.endpoint(self._process, announce=False)
         harness.announce(self.endpoint, slots=64)
 
-    def _take(self, endpoint, request):
+    def _process(self, endpoint, request):
         machine = endpoint.machine
-        begins_s = max(machine.seconds(), self._free_s)
-        self._free_s = begins_s + PROMPT_TOKENS / TOKENS_PER_MS / 1_000
+        starts_s = max(machine.seconds(), self._free_s)
+        self._free_s = starts_s + PROMPT_TOKENS / TOKENS_PER_MS / 1_000
         machine.callLater(self._free_s - machine.seconds(), self._answer, request)
 
     @staticmethod
@@ -49,8 +45,8 @@
         request.finish()
 
 
-class Wave:
-    """Requests at several times the engines' capacity, and what became of each."""
+class Burst:
+    """A burst of requests at several times the engines' capacity, and their answers."""
 
     def __init__(self, times, gateways=3, admission=True, **route):
         self.harness = Harness(
@@ -61,12 +57,12 @@
         )
         self.harness.mechanisms = Mechanisms(admission=admission)
         for _ in range(ENGINES):
-            ReadingEngine(self.harness)
+            SerialEngine(self.harness)
         self.harness.ready(gateways)
         self.harness.network.advance(0.3)
         self.sent = []
-        self.begun_s = {}
-        self.send_for(WAVE_S, times * CAPACITY_PER_S)
+        self.started_after_s = {}
+        self.send_for(BURST_S, times * CAPACITY_PER_S)
 
     def send_for(self, seconds, per_s):
         clock = self.harness.network.clock
@@ -79,28 +75,28 @@
             )
             self.sent.append((caller, clock.seconds()))
             self.harness.network.advance(max(0.0, 1 / per_s - 0.01))
-            self._look()
+            self._record_answers()
         self.harness.network.advance(0.01)
-        self._look()
+        self._record_answers()
 
-    def _look(self):
+    def _record_answers(self):
         now_s = self.harness.network.clock.seconds()
         for caller, sent_s in self.sent:
-            if caller not in self.begun_s and b"\r\n\r\n" in caller.received:
-                self.begun_s[caller] = now_s - sent_s
+            if caller not in self.started_after_s and b"\r\n\r\n" in caller.received:
+                self.started_after_s[caller] = now_s - sent_s
 
     def finish(self):
         for _ in range(200):
             self.harness.network.advance(0.05)
-            self._look()
+            self._record_answers()
             if all(answered(caller) for caller, _ in self.sent):
                 break
         return self
 
-    def in_target(self):
-        """Count the streams that began within the target."""
+    def count_in_target(self):
+        """Return the number of streams that started within the target."""
         return sum(
-            caller.status == 200 and self.begun_s[caller] <= TARGET_S + 0.05
+            caller.status == 200 and self.started_after_s[caller] <= TARGET_S + 0.05
             for caller, _ in self.sent
         )
 
@@ -109,40 +105,40 @@
 
 
 def test_burst_is_served_in_time_up_to_capacity_and_the_rest_refused_at_once():
-    wave = Wave(times=5.0).finish()
-    late = Wave(times=5.0, admission=False).finish()
-    served_at_capacity = CAPACITY_PER_S * WAVE_S
-    assert wave.in_target() >= served_at_capacity
-    assert wave.in_target() >= 2 * late.in_target()
-    assert {reason(caller) for caller in wave.refused()} == {"overloaded"}
-    assert all(wave.begun_s[caller] < 0.05 for caller in wave.refused())
+    burst = Burst(times=5.0).finish()
+    without_admission = Burst(times=5.0, admission=False).finish()
+    served_at_capacity = CAPACITY_PER_S * BURST_S
+    assert burst.count_in_target() >= served_at_capacity
+    assert burst.count_in_target() >= 2 * without_admission.count_in_target()
+    assert {reason(caller) for caller in burst.refused()} == {"overloaded"}
+    assert all(burst.started_after_s[caller] < 0.05 for caller in burst.refused())
 
 
 @pytest.mark.parametrize("times", [0.5, 0.9])
 def test_nothing_is_refused_below_capacity(times):
-    assert not Wave(times).finish().refused()
+    assert not Burst(times).finish().refused()
 
 
 def test_tenfold_load_is_served_as_well_as_fivefold_load():
-    assert Wave(10.0).finish().in_target() >= 0.9 * Wave(5.0).finish().in_target()
+    assert Burst(10.0).finish().count_in_target() >= 0.9 * Burst(5.0).finish().count_in_target()
 
 
 def test_requests_are_served_in_time_again_as_soon_as_a_burst_ends():
-    wave = Wave(times=5.0)
-    wave.harness.network.advance(1.0)
-    before = len(wave.sent)
-    wave.send_for(2.0, 0.5 * CAPACITY_PER_S)
-    wave.finish()
-    usual = wave.sent[before:]
-    assert {caller.status for caller, _ in usual} == {200}
-    assert all(wave.begun_s[caller] <= TARGET_S for caller, _ in usual)
+    burst = Burst(times=5.0)
+    burst.harness.network.advance(1.0)
+    before = len(burst.sent)
+    burst.send_for(2.0, 0.5 * CAPACITY_PER_S)
+    burst.finish()
+    after_burst = burst.sent[before:]
+    assert {caller.status for caller, _ in after_burst} == {200}
+    assert all(burst.started_after_s[caller] <= TARGET_S for caller, _ in after_burst)
 
 
 def test_retry_after_grows_with_the_length_of_a_burst():
-    wave = Wave(times=5.0).finish()
-    told_s = [float(caller.header(b"retry-after")) for caller in wave.refused()]
-    tenth = len(told_s) // 10
-    first, last = told_s[:tenth], told_s[-tenth:]
+    burst = Burst(times=5.0).finish()
+    retry_after_s = [float(caller.header(b"retry-after")) for caller in burst.refused()]
+    tenth = len(retry_after_s) // 10
+    first, last = retry_after_s[:tenth], retry_after_s[-tenth:]
     assert max(first) < 1.0
     assert min(last) > 1.0
     assert max(last) <= 1.5 * 4.0
--- a/turnward/gateway/tests/test_warm_up.py
+++ b/turnward/gateway/tests/test_warm_up.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What cold endpoints get: never more than they bear, and all their share soon after."""
+"""Cold endpoints never receive more than their rate, and full load soon after the cold time."""
 
 import pytest
 
@@ -15,12 +15,12 @@
     stated_limit,
 )
 
-#: Seeds of random plays in CI; ``python -m turnward.gateway.tests.warm_up_sim 200`` plays more.
+#: Seeds of random scenarios; ``python -m turnward.gateway.tests.warm_up_sim 200`` runs more.
 SEEDS = (*range(12), 83, 102, 398, 696)
 
 
-def run(scenario, way=ShareStrategy, after_s=1.0):
-    return Fleet(scenario, way).run(scenario.cold_s + after_s)
+def run(scenario, strategy=ShareStrategy, after_s=1.0):
+    return Fleet(scenario, strategy).run(scenario.cold_s + after_s)
 
 
 @pytest.mark.parametrize("size", [(7, 2), (86, 12), (300, 6)])
@@ -36,8 +36,8 @@
 
 
 def test_partition_does_not_multiply_shares():
-    """Shared out among the routers that are heard, 101 requests came in a second."""
-    scenario = Scenario(routers=86, endpoints=12, cut=0.34)
+    """Dividing the rate among reachable routers alone exceeds it in a partition."""
+    scenario = Scenario(routers=86, endpoints=12, partitioned=0.34)
     assert run(scenario, ShareOfVisiblePeersStrategy).most_in_a_second > stated_limit(scenario)
     assert run(scenario).most_in_a_second <= scenario.requests_per_s
 
@@ -48,14 +48,13 @@
 
 
 def test_return_to_full_load_has_no_step():
-    """From 86 routers a just warm endpoint got 50 requests in 0.2 s; with a ramp 7."""
+    """Without a ramp, all routers choose an endpoint as soon as its cold time is over."""
     scenario = Scenario(routers=86, endpoints=45)
     assert run(scenario, NoRampStrategy).step > 15
     assert run(scenario).step <= 8
 
 
 def test_all_routers_may_choose_an_endpoint_soon_after_it_is_warm():
-    """All of 86 routers 1.6 s after the end of the cold time."""
     scenario = Scenario(routers=86, endpoints=1)
     fleet = Fleet(scenario, ShareStrategy)
     fleet.run(scenario.cold_s)
@@ -64,10 +63,10 @@
 
 
 def test_cold_endpoints_together_receive_most_of_their_rate():
-    """Where leases from one router let 586 requests through: 511; 557 to 212 in a cut."""
+    """The shares use most of the rate, also while no router can reach another."""
     scenario = Scenario(routers=86, endpoints=45)
     assert run(scenario).served > 450
-    assert run(Scenario(routers=86, endpoints=45, cut=1.0)).served > 450
+    assert run(Scenario(routers=86, endpoints=45, partitioned=1.0)).served > 450
 
 
 def test_endpoint_with_a_rate_below_one_per_second_gets_one_router():
--- a/turnward/gateway/tests/warm_up_sim.py
+++ b/turnward/gateway/tests/warm_up_sim.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A fleet that sends to cold endpoints, on a clock of its own; each way of dealing out the rate.
+"""Simulates a fleet that sends to cold endpoints, with several strategies of dividing the rate.
 
-Routers draw requests at random moments and send each to the first endpoint of one list that the way
-permits: the worst that a choice of endpoints can do. What arrives is counted at the endpoints.
+Routers create requests at random times and send each to the first endpoint in a common list that
+the strategy permits, which is the worst case for a choice of endpoints. The simulation has a clock
+of its own and counts the arrivals at each endpoint.
 """
 
 import heapq
@@ -20,29 +21,29 @@
 from turnward.gateway.warm_up import Allowance, WarmUp, WarmUpShares
 from turnward.hashing import rendezvous_weight
 
-#: Seconds that a datagram or request is under way, at least and at most.
-_WAY_S = (0.0005, 0.003)
-#: Seconds for which a lease of one request is good where leases are asked for.
+#: Shortest and longest delivery time of a request.
+_DELIVERY_S = (0.0005, 0.003)
+#: Lifetime of a lease for one request.
 _LEASE_S = 0.5
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """One play.
+    """Parameters of one simulation.
 
     Attributes
     ----------
     demand_per_s : float
-        Requests that each router draws.
-    cut : float
-        Share of the routers that hear no other, and are heard by none.
+        Requests that each router creates per second.
+    partitioned : float
+        Share of the routers that cannot communicate with any other.
     unread : float
         Share of the routers that have not read the members' table.
     added : int
-        Routers that only they themselves and the newest of them know of.
-    frozen : float
-        Share of the routers that stand still for half a second and then send all at once.
+        Number of new routers, of which only the new ones know.
+    paused : float
+        Share of the routers that pause for half a second and then send everything at once.
     connect_s : float
-        Longest that it takes until a request leaves.
+        Longest time to open a connection.
     """
 
     routers: int
@@ -50,10 +51,10 @@
     requests_per_s: float = 9.9
     cold_s: float = 3.0
     demand_per_s: float = 2.4
-    cut: float = 0.0
+    partitioned: float = 0.0
     unread: float = 0.0
     added: int = 0
-    frozen: float = 0.0
+    paused: float = 0.0
     connect_s: float = 0.0
     seed: int = 0
 
@@ -71,7 +72,7 @@
 
 
 class StrategyBase(ABC):
-    """How one router learns whether it may send."""
+    """Decides whether one router may send a request."""
 
     def __init__(self, scenario, fleet, number, book, clock):
         self.scenario = scenario
@@ -82,11 +83,11 @@
 
     @abstractmethod
     def may_send(self, endpoint: str) -> bool:
-        """Tell whether a request may go to a cold endpoint now, and note it if so."""
+        """Tell whether a request may be sent to a cold endpoint now, and record it if so."""
 
 
 class ShareStrategy(StrategyBase):
-    """The product's way."""
+    """The strategy in use: a fixed share of the rate for each router."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -107,12 +108,12 @@
 
 
 class ShareOfVisiblePeersStrategy(ShareStrategy):
-    """A broken variant: the rate is shared out among the routers that are heard."""
+    """A broken variant: the rate is divided among the reachable routers."""
 
     def allowance(self, endpoint):
-        seen = 1 if self.fleet.is_cut(self.number) else self.fleet.heard
-        each_per_s = self.scenario.requests_per_s / max(1, seen)
-        return Allowance(1.0 / each_per_s, 0, seen)
+        reachable = 1 if self.fleet.is_partitioned(self.number) else self.fleet.reachable
+        each_per_s = self.scenario.requests_per_s / max(1, reachable)
+        return Allowance(1.0 / each_per_s, 0, reachable)
 
 
 class NoRampStrategy(ShareStrategy):
@@ -125,39 +126,39 @@
 
 
 class UninformedStrategy(ShareStrategy):
-    """A broken variant: routers are not told that an endpoint is cold, and find out by sending."""
+    """A broken variant: routers do not know that an endpoint is cold."""
 
     def may_send(self, endpoint):
         return True
 
 
 class LeaseStrategy(StrategyBase):
-    """The other way weighed: the first member in rank grants each request."""
+    """An alternative: the member that ranks first grants a lease for each request."""
 
     def may_send(self, endpoint):
         holder = self.fleet.holder(endpoint, self.number)
         if holder is None:
             return False
         now_s = self.clock()
-        free_s = self.fleet.lease_free_s.get((holder, endpoint), -1e9)
-        if now_s < free_s:
+        next_s = self.fleet.lease_next_s.get((holder, endpoint), -1e9)
+        if now_s < next_s:
             return False
-        self.fleet.lease_free_s[holder, endpoint] = now_s + 1.0 / self.scenario.requests_per_s
+        self.fleet.lease_next_s[holder, endpoint] = now_s + 1.0 / self.scenario.requests_per_s
         self.fleet.lease_calls += 1
         return True
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a play showed.
+    """Result of a simulation.
 
     Attributes
     ----------
     most_in_a_second : int
-        The most requests that a cold endpoint got in a sliding second.
+        Most requests that a cold endpoint received in a sliding second.
     served : int
-        Requests that cold endpoints took in their cold time.
+        Requests that the endpoints received in their cold time.
     step : int
-        The most that a just warm endpoint got in 0.2 s.
+        Most requests that an endpoint received in 0.2 s shortly after its cold time.
     """
 
     most_in_a_second: int
@@ -166,30 +167,30 @@
 
 
 class Fleet:
-    """The routers of a play and the endpoints' counts."""
+    """The routers of a simulation and the arrivals at the endpoints."""
 
-    def __init__(self, scenario: Scenario, way: type[StrategyBase]):
+    def __init__(self, scenario: Scenario, strategy: type[StrategyBase]):
         self.scenario = scenario
-        self.draw = random.Random(scenario.seed)
+        self.rng = random.Random(scenario.seed)
         self.clock = Clock()
         self.endpoints = [f"e-{number}-{scenario.seed}" for number in range(scenario.endpoints)]
         self.arrivals = {endpoint: [] for endpoint in self.endpoints}
         count = scenario.routers
-        self._cut = set(self.draw.sample(range(count), int(scenario.cut * count)))
-        self._unread = set(self.draw.sample(range(count), int(scenario.unread * count)))
-        self._frozen = set(self.draw.sample(range(count), int(scenario.frozen * count)))
-        self.heard = count - len(self._cut)
-        self.lease_free_s = {}
+        self._partitioned = set(self.rng.sample(range(count), int(scenario.partitioned * count)))
+        self._unread = set(self.rng.sample(range(count), int(scenario.unread * count)))
+        self._paused = set(self.rng.sample(range(count), int(scenario.paused * count)))
+        self.reachable = count - len(self._partitioned)
+        self.lease_next_s = {}
         self.lease_calls = 0
         self.addresses = [f"10.0.{n // 250}.{n % 250}:1" for n in range(count + scenario.added)]
         self.routers = [
-            way(scenario, self, number, self._book(number), self.clock)
+            strategy(scenario, self, number, self._book(number), self.clock)
             for number in range(count + scenario.added)
         ]
         self._holders = {}
 
-    def is_cut(self, number: int) -> bool:
-        return number in self._cut
+    def is_partitioned(self, number: int) -> bool:
+        return number in self._partitioned
 
     def _book(self, number: int) -> PeerBook:
         book = PeerBook(self.addresses[number], self.clock)
@@ -200,9 +201,9 @@
         book.members_read = number not in self._unread
         return book
 
-    def holder(self, endpoint: str, asker: int) -> int | None:
-        """Return who grants an endpoint's leases to a router; None when it is not reached."""
-        newcomer = asker >= self.scenario.routers
+    def holder(self, endpoint: str, requester: int) -> int | None:
+        """Return which router grants an endpoint's leases; None if it is unreachable."""
+        newcomer = requester >= self.scenario.routers
         known = len(self.addresses) if newcomer else self.scenario.routers
         key = (endpoint, known)
         if key not in self._holders:
@@ -211,36 +212,38 @@
                 key=lambda number: rendezvous_weight(endpoint, self.addresses[number]),
             )
         holder = self._holders[key]
-        if holder != asker and (self.is_cut(holder) or self.is_cut(asker)):
+        if holder != requester and (self.is_partitioned(holder) or self.is_partitioned(requester)):
             return None
         return holder
 
     def run(self, until_s: float) -> Outcome:
-        """Let time pass; each request goes to the first endpoint that it may."""
+        """Run the simulation; each request goes to the first endpoint that the strategy permits."""
         scenario = self.scenario
         events = []
         for number in range(len(self.routers)):
-            self._draw_next(events, number, 0.0)
+            self._schedule_next(events, number, 0.0)
         while events:
             at_s, number = heapq.heappop(events)
             if at_s > until_s:
                 break
             self.clock.now_s = max(self.clock.now_s, at_s)
-            self._draw_next(events, number, at_s)
-            if number in self._frozen and 1.0 <= at_s < 1.5:
+            self._schedule_next(events, number, at_s)
+            if number in self._paused and 1.0 <= at_s < 1.5:
                 heapq.heappush(events, (1.5, number))
                 continue
             for endpoint in self.endpoints:
                 if self.routers[number].may_send(endpoint):
-                    delay_s = self.draw.uniform(*_WAY_S) + self.draw.uniform(0, scenario.connect_s)
+                    delay_s = self.rng.uniform(*_DELIVERY_S) + self.rng.uniform(
+                        0, scenario.connect_s
+                    )
                     self.arrivals[endpoint].append((self.clock.now_s, delay_s))
                     break
         return self._outcome()
 
-    def _draw_next(self, events, number: int, at_s: float) -> None:
-        if at_s == 1.5 and number in self._frozen:
+    def _schedule_next(self, events, number: int, at_s: float) -> None:
+        if at_s == 1.5 and number in self._paused:
             return
-        heapq.heappush(events, (at_s + self.draw.expovariate(self.scenario.demand_per_s), number))
+        heapq.heappush(events, (at_s + self.rng.expovariate(self.scenario.demand_per_s), number))
 
     def _outcome(self) -> Outcome:
         cold_s = self.scenario.cold_s
@@ -256,43 +259,43 @@
 
 
 def stated_limit(scenario: Scenario) -> float:
-    """Return the most requests in a sliding second: the rate, and what newcomers and delays add.
+    """Return the upper bound of requests in a sliding second: the rate plus two allowances.
 
-    A router that the others do not know yet may take the place of one that goes on; delays that
-    differ bring requests of two seconds together.
+    A new router that others do not know yet may send in addition to the one that it replaces, and
+    varying delays bring requests from different seconds together.
     """
-    chosen = max(1, min(scenario.routers, int(scenario.requests_per_s)))
-    replaced = min(chosen, scenario.added)
-    late = math.ceil((chosen + replaced) * (scenario.connect_s + _WAY_S[1]))
-    return max(1.0, scenario.requests_per_s) + replaced + late
+    senders = max(1, min(scenario.routers, int(scenario.requests_per_s)))
+    replaced = min(senders, scenario.added)
+    delayed = math.ceil((senders + replaced) * (scenario.connect_s + _DELIVERY_S[1]))
+    return max(1.0, scenario.requests_per_s) + replaced + delayed
 
 
 def random_scenario(seed: int) -> Scenario:
-    """Return a play in which all that may differ is drawn."""
-    draw = random.Random(seed)
-    routers = draw.choice((2, 3, 7, 20, 86))
+    """Return a scenario with randomly chosen parameters."""
+    rng = random.Random(seed)
+    routers = rng.choice((2, 3, 7, 20, 86))
     return Scenario(
         routers=routers,
-        endpoints=draw.randint(1, 8),
-        requests_per_s=draw.choice((0.5, 1.0, 4.0, 9.9, 19.9, 40.0)),
-        cold_s=draw.choice((1.0, 3.0, 5.0)),
-        demand_per_s=draw.choice((0.5, 2.4, 10.0)),
-        cut=draw.choice((0.0, 0.3, 1.0)),
-        unread=draw.choice((0.0, 0.2)),
-        added=draw.randint(0, max(1, routers // 8)),
-        frozen=draw.choice((0.0, 0.1)),
-        connect_s=draw.choice((0.0, 0.3)),
+        endpoints=rng.randint(1, 8),
+        requests_per_s=rng.choice((0.5, 1.0, 4.0, 9.9, 19.9, 40.0)),
+        cold_s=rng.choice((1.0, 3.0, 5.0)),
+        demand_per_s=rng.choice((0.5, 2.4, 10.0)),
+        partitioned=rng.choice((0.0, 0.3, 1.0)),
+        unread=rng.choice((0.0, 0.2)),
+        added=rng.randint(0, max(1, routers // 8)),
+        paused=rng.choice((0.0, 0.1)),
+        connect_s=rng.choice((0.0, 0.3)),
         seed=seed,
     )
 
 
 CASES = {
-    "all live": {},
-    "a third cut off": {"cut": 0.34},
-    "each reaches no other": {"cut": 1.0},
-    "a fifth has not read the members": {"unread": 0.2},
-    "a tenth added, not known to all": {"added": 0.1},
-    "a tenth stands still for 0.5 s": {"frozen": 0.1},
+    "all routers live": {},
+    "a third partitioned": {"partitioned": 0.34},
+    "no router reaches another": {"partitioned": 1.0},
+    "a fifth has not read the members' table": {"unread": 0.2},
+    "a tenth added, not known to the others": {"added": 0.1},
+    "a tenth paused for 0.5 s": {"paused": 0.1},
     "connections take up to 0.3 s": {"connect_s": 0.3},
 }
 
@@ -300,7 +303,7 @@
 
 
 def scenarios(routers: int, endpoints: int, seed: int = 0):
-    """Return each case's name and play at a size."""
+    """Yield the name and scenario of each case for a fleet size."""
     for name, fields in CASES.items():
         fields = dict(fields)
         if "added" in fields:
@@ -315,11 +318,11 @@
 
 
 def main() -> None:
-    """Print the table of the ways, or play as many random fleets as the argument says."""
+    """Print a table of all strategies, or check as many random scenarios as the argument says."""
     if len(sys.argv) > 1:
-        _play_random(int(sys.argv[1]))
+        _run_random(int(sys.argv[1]))
         return
-    ways = (
+    strategies = (
         ShareStrategy,
         LeaseStrategy,
         ShareOfVisiblePeersStrategy,
@@ -328,28 +331,28 @@
     )
     for routers, endpoints in SIZES:
         for name, scenario in scenarios(routers, endpoints):
-            for way in ways:
-                fleet = Fleet(scenario, way)
+            for strategy in strategies:
+                fleet = Fleet(scenario, strategy)
                 outcome = fleet.run(scenario.cold_s + 1.0)
                 sys.stdout.write(
-                    f"| {routers} x {endpoints} | {name} | {way.__name__} "
+                    f"| {routers} x {endpoints} | {name} | {strategy.__name__} "
                     f"| {outcome.most_in_a_second} | {outcome.served} | {outcome.step} "
                     f"| {fleet.lease_calls} |\n"
                 )
                 sys.stdout.flush()
 
 
-def _play_random(count: int) -> None:
-    broken = 0
+def _run_random(count: int) -> None:
+    exceeded = 0
     for seed in range(count):
         scenario = random_scenario(seed)
         most = Fleet(scenario, ShareStrategy).run(scenario.cold_s + 1.0).most_in_a_second
         if most > stated_limit(scenario):
-            broken += 1
+            exceeded += 1
             sys.stdout.write(
                 f"seed {seed}: {most} in a second, {stated_limit(scenario):.1f} allowed\n"
             )
-    sys.stdout.write(f"{count} plays, {broken} broken\n")
+    sys.stdout.write(f"{count} scenarios, {exceeded} exceeded the limit\n")
 
 
 if __name__ == "__main__":
