--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Engines of one pool differ in speed, which is learned from the events of their streams."""
+"""Engine speeds measured from the events of streams, and their effect on the choice of engines."""
 
 import random
 
@@ -20,26 +20,26 @@
 from turnward.gateway.tests.harness import ENGINE_POOL, Harness, answer_head, encode_events
 
 ENGINE = EngineTraits(slots=64, event_tokens=3)
-SHORT = Prompt(600, 300, parse_prompt_parts("aa:120,own:480"))
-#: Milliseconds between two events of engines that are equally fast, or some of them slower.
-EQUAL = (20.0, 20.5, 21.0, 21.5)
-ONE_SLOWER = (20.0, 26.0, 20.5, 21.0)
-ONE_CRAWLING = (20.0, 100.0, 20.5, 21.0)
+SHORT_PROMPT = Prompt(600, 300, parse_prompt_parts("aa:120,own:480"))
+#: Undisturbed gaps between events of four engines.
+EQUAL_GAPS_MS = (20.0, 20.5, 21.0, 21.5)
+ONE_SLOWER_GAPS_MS = (20.0, 26.0, 20.5, 21.0)
+ONE_VERY_SLOW_GAPS_MS = (20.0, 100.0, 20.5, 21.0)
 
 
 class Engines:
-    """Simulated engines of given speeds, and a router that only sees their events."""
+    """Simulated engines of given speeds, and a router that observes only their events."""
 
     def __init__(self, gaps_ms, seed=0, pause_target_s=0.3):
         self.now_s = 100.0
         self.pause_target_s = pause_target_s
         self.gaps_ms = gaps_ms
-        self.told = {}
+        self.peer_loads = {}
         self.book = EndpointBook(
             "z",
             lambda: self.now_s,
             lambda address, on_head: None,
-            lambda: self.told,
+            lambda: self.peer_loads,
             random.Random(seed),
         )
         entries = [
@@ -48,22 +48,22 @@
         ]
         self.book.set_entries({entry.endpoint_id: entry for entry in entries})
 
-    def play(self, held_up_share=0.3):
-        """Let a stream run on each engine; long prompts hold up a share of its events."""
-        draw = random.Random(1)
+    def run_streams(self, held_up_share=0.3):
+        """Run a stream on each engine; long prompts hold up a share of its events."""
+        rng = random.Random(1)
         for record, gap_ms in zip(self.book.all(), self.gaps_ms, strict=True):
             for _ in range(200):
-                held_up = draw.random() < held_up_share
+                held_up = rng.random() < held_up_share
                 record.gap_tracker.note(
-                    gap_ms * (12 if held_up else draw.uniform(1.0, 1.1)), self.now_s
+                    gap_ms * (12 if held_up else rng.uniform(1.0, 1.1)), self.now_s
                 )
                 record.gap_tracker.observed(self.now_s)
 
-    def shares(self, prompts):
-        """Return how many of the prompts each engine would get."""
+    def choices(self, prompts):
+        """Return how many of the prompts each engine is chosen for."""
         chosen = [
-            self.book.choose("pool", one, ENGINE, set(), self.pause_target_s).record
-            for one in prompts
+            self.book.choose("pool", prompt, ENGINE, set(), self.pause_target_s).record
+            for prompt in prompts
         ]
         return [sum(r.endpoint_id == f"e-{n}" for r in chosen) for n in range(len(self.gaps_ms))]
 
@@ -73,65 +73,68 @@
 
 
 def test_long_prompts_avoid_a_slower_engine():
-    engines = Engines(ONE_SLOWER)
-    assert engines.shares(long_prompts())[1] > 0
-    engines.play()
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    assert engines.choices(long_prompts())[1] > 0
+    engines.run_streams()
     engines.now_s += 1.0
-    assert engines.shares(long_prompts())[1] == 0
+    assert engines.choices(long_prompts())[1] == 0
 
 
 def test_short_prompts_prefer_the_engine_without_long_prompts():
-    engines = Engines(ONE_SLOWER)
-    engines.play()
-    assert engines.shares([SHORT] * 20) == [0, 20, 0, 0]
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    engines.run_streams()
+    assert engines.choices([SHORT_PROMPT] * 20) == [0, 20, 0, 0]
 
 
 def test_short_prompts_use_the_others_once_the_slower_engine_is_busy():
-    engines = Engines(ONE_SLOWER)
-    engines.play()
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    engines.run_streams()
     engines.book.get("e-1").in_flight = 60
-    assert engines.shares([SHORT] * 20)[1] == 0
+    assert engines.choices([SHORT_PROMPT] * 20)[1] == 0
 
 
-@pytest.mark.parametrize("prompts", [long_prompts(20), [SHORT] * 20])
+@pytest.mark.parametrize("prompts", [long_prompts(20), [SHORT_PROMPT] * 20])
 def test_very_slow_engine_gets_nothing_while_others_have_capacity(prompts):
-    engines = Engines(ONE_CRAWLING)
-    engines.play()
-    assert engines.shares(prompts)[1] == 0
+    engines = Engines(ONE_VERY_SLOW_GAPS_MS)
+    engines.run_streams()
+    assert engines.choices(prompts)[1] == 0
 
 
 def test_measurements_do_not_change_the_choice_among_equally_fast_engines():
-    engines, unknown = Engines(EQUAL, seed=4), Engines(EQUAL, seed=4)
-    engines.play()
-    prompts = [*long_prompts(20), *[SHORT] * 20]
-    assert engines.shares(prompts) == unknown.shares(prompts)
+    measured, unmeasured = Engines(EQUAL_GAPS_MS, seed=4), Engines(EQUAL_GAPS_MS, seed=4)
+    measured.run_streams()
+    prompts = [*long_prompts(20), *[SHORT_PROMPT] * 20]
+    assert measured.choices(prompts) == unmeasured.choices(prompts)
 
 
 def test_routers_without_streams_agree_through_reports_of_peers():
-    seen, unseen = Engines(ONE_SLOWER, seed=1), Engines(ONE_SLOWER, seed=2)
-    seen.play()
-    for record in seen.book.all():
-        gap_tracker = record.gap_tracker.observed(seen.now_s)
-        unseen.told[record.endpoint_id] = EndpointLoad(
-            record.incarnation, 0, 0, gap_tracker.quiet_gap_ms, gap_tracker.held_up_gap_ms
+    with_streams, without_streams = (
+        Engines(ONE_SLOWER_GAPS_MS, seed=1),
+        Engines(ONE_SLOWER_GAPS_MS, seed=2),
+    )
+    with_streams.run_streams()
+    for record in with_streams.book.all():
+        gaps = record.gap_tracker.observed(with_streams.now_s)
+        without_streams.peer_loads[record.endpoint_id] = EndpointLoad(
+            record.incarnation, 0, 0, gaps.quiet_gap_ms, gaps.held_up_gap_ms
         )
-    assert seen.shares(long_prompts()) == unseen.shares(long_prompts())
+    assert with_streams.choices(long_prompts()) == without_streams.choices(long_prompts())
 
 
 def test_engine_that_recovers_is_chosen_again():
-    engines = Engines(ONE_SLOWER)
-    engines.play()
-    engines.gaps_ms = EQUAL
-    engines.play()
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    engines.run_streams()
+    engines.gaps_ms = EQUAL_GAPS_MS
+    engines.run_streams()
     engines.now_s += 1.0
-    assert engines.shares(long_prompts())[1] > 0
+    assert engines.choices(long_prompts())[1] > 0
 
 
 def test_measured_intervals_expire():
-    engines = Engines(ONE_SLOWER)
-    engines.play()
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    engines.run_streams()
     engines.now_s += 60.0
-    assert engines.shares(long_prompts())[1] > 0
+    assert engines.choices(long_prompts())[1] > 0
 
 
 def test_too_few_events_give_no_estimate():
@@ -142,26 +145,24 @@
 
 
 def test_at_least_half_of_the_engines_are_usual():
-    paces = [EventGaps(gap_ms, gap_ms * 12) for gap_ms in (10.0, 30.0, 30.0)]
-    usual = usual_gaps(paces)
-    classes = [
-        next_speed_class(SpeedClass.USUAL, gap_tracker, usual, 300.0) for gap_tracker in paces
-    ]
+    observed = [EventGaps(gap_ms, gap_ms * 12) for gap_ms in (10.0, 30.0, 30.0)]
+    usual = usual_gaps(observed)
+    classes = [next_speed_class(SpeedClass.USUAL, gaps, usual, 300.0) for gaps in observed]
     assert classes == [SpeedClass.USUAL] * 3
 
 
 def test_slower_engine_is_used_where_its_pauses_are_within_the_target():
-    """Held up for 312 ms there: late where 300 ms are borne, in time where 400 ms are."""
+    """Events are held up for 312 ms there: above a target of 300 ms, below one of 400 ms."""
     for pause_target_s, avoided in ((0.3, True), (0.4, False)):
-        engines = Engines(ONE_SLOWER, pause_target_s=pause_target_s)
-        engines.play()
-        assert (engines.shares(long_prompts())[1] == 0) is avoided
+        engines = Engines(ONE_SLOWER_GAPS_MS, pause_target_s=pause_target_s)
+        engines.run_streams()
+        assert (engines.choices(long_prompts())[1] == 0) is avoided
 
 
 def test_slower_engine_is_used_where_no_event_is_held_up():
-    engines = Engines(ONE_SLOWER)
-    engines.play(held_up_share=0.0)
-    assert engines.shares(long_prompts())[1] > 0
+    engines = Engines(ONE_SLOWER_GAPS_MS)
+    engines.run_streams(held_up_share=0.0)
+    assert engines.choices(long_prompts())[1] > 0
 
 
 def test_pause_target_of_a_pool_is_the_shortest_of_its_streams():
@@ -177,17 +178,17 @@
 def test_speed_class_near_the_threshold_does_not_oscillate():
     engines = Engines((20.0, 23.5, 20.5, 21.0))
     changes = []
-    engines.book.on_speed_class = lambda record, gap_tracker, usual: changes.append(record)
+    engines.book.on_speed_class = lambda record, gaps, usual: changes.append(record)
     for gap_ms in (24.9, 23.5, 24.9, 23.5, 24.9):
         engines.gaps_ms = (20.0, gap_ms, 20.5, 21.0)
-        engines.play()
+        engines.run_streams()
         engines.now_s += 1.0
-        engines.shares([SHORT])
+        engines.choices([SHORT_PROMPT])
     assert len(changes) <= 1
 
 
 def slow_stream(gap_s):
-    """Return a behaviour that streams sixty events at a pace, one in four of them held up."""
+    """Return a behaviour that streams sixty events at a given gap, one in four held up."""
 
     def behave(endpoint, request):
         request.start(200, [*answer_head(request), (b"content-type", b"text/event-stream")], None)
