--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The choice of an endpoint: load, kept prompt parts, rest after failures."""
+"""The choice of an endpoint by load, cached prompt parts, failures, entries and warm-up."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class Pool:
-    """Connections that are never opened."""
+    """A connection pool that opens no connections."""
 
     def __init__(self, address, on_head):
         self.on_head = on_head
@@ -31,6 +31,8 @@
 
 
 class World:
+    """An endpoint book and its entries, on a clock that the test sets."""
+
     def __init__(self, count=4, slots=8, seed=0, **fields):
         self.now_s = 0.0
         self.loads = {}
@@ -76,34 +78,34 @@
 def test_routers_agree_on_the_preferred_endpoint_of_a_prompt_part():
     first, second = World(seed=1), World(seed=2)
     for number in range(20):
-        wanted = prompt(f"{number:x}")
-        homes = {world.choose(wanted, ENGINE).endpoint_id for world in (first, second)}
-        assert len(homes) == 1
+        shared_prompt = prompt(f"{number:x}")
+        preferred = {world.choose(shared_prompt, ENGINE).endpoint_id for world in (first, second)}
+        assert len(preferred) == 1
 
 
 def test_preferred_endpoints_are_distributed_over_the_pool():
     world = World()
-    homes = Counter(
+    preferred = Counter(
         world.choose(prompt(f"{number:x}"), ENGINE).endpoint_id for number in range(200)
     )
-    assert len(homes) == 4
-    assert max(homes.values()) < 90
+    assert len(preferred) == 4
+    assert max(preferred.values()) < 90
 
 
 def test_overloaded_preferred_endpoint_is_not_chosen():
     world = World()
-    home = world.choose(prompt("a"), ENGINE)
-    home.prefill_tokens = 50_000
-    assert world.choose(prompt("a"), ENGINE) is not home
+    preferred = world.choose(prompt("a"), ENGINE)
+    preferred.prefill_tokens = 50_000
+    assert world.choose(prompt("a"), ENGINE) is not preferred
 
 
 def test_busy_preferred_endpoint_is_chosen_when_rereading_costs_more():
     world = World()
-    wanted = prompt("1")
-    home = world.choose(wanted, ENGINE)
-    # 200 ms of other prompts are read there first; to read the part anew takes 90 ms elsewhere.
-    home.prefill_tokens = 10_000
-    assert world.choose(wanted, ENGINE) is home
+    shared_prompt = prompt("1")
+    preferred = world.choose(shared_prompt, ENGINE)
+    # The backlog takes 200 ms; processing the part elsewhere takes 90 ms, but is weighted higher.
+    preferred.prefill_tokens = 10_000
+    assert world.choose(shared_prompt, ENGINE) is preferred
 
 
 @pytest.mark.parametrize("certain", [True, False])
@@ -159,7 +161,7 @@
     assert record.cached_tokens(prompt(f"{4_999:x}"), world.now_s + 60.0) == 0
 
 
-def ids_chosen(world, times=20):
+def chosen_ids(world, times=20):
     return {world.choose().endpoint_id for _ in range(times)}
 
 
@@ -167,13 +169,13 @@
     world = World(count=2)
     world.book.get("e-0").availability.mark_replaced(world.now_s)
     world.now_s += 60.0
-    assert ids_chosen(world) == {"e-1"}
+    assert chosen_ids(world) == {"e-1"}
     world.book.get("e-1").availability.mark_replaced(world.now_s)
-    assert ids_chosen(world) == {"e-0"}
+    assert chosen_ids(world) == {"e-0"}
     world.now_s += 9.0
-    assert ids_chosen(world) == {"e-0"}
+    assert chosen_ids(world) == {"e-0"}
     world.now_s += 2.0
-    assert ids_chosen(world) == {"e-0", "e-1"}
+    assert chosen_ids(world) == {"e-0", "e-1"}
 
 
 def test_no_endpoint_is_chosen_when_all_are_known_to_be_gone():
@@ -188,7 +190,7 @@
 
 
 def omit(world, *numbers, store_was_away=True):
-    """Take in all entries but some."""
+    """Set the entries again without those of some endpoints."""
     kept = {name: entry for name, entry in world.entries.items() if int(name[2:]) not in numbers}
     world.book.set_entries(kept, store_was_away)
 
@@ -196,37 +198,37 @@
 def test_endpoints_whose_entries_lapse_together_stay_in_use_until_the_entries_return():
     world = World(count=8)
     omit(world, *range(8))
-    assert len(ids_chosen(world, 60)) == 8
+    assert len(chosen_ids(world, 60)) == 8
     world.now_s += 0.8
     omit(world, *range(4), store_was_away=False)
-    assert len(ids_chosen(world, 60)) == 8
+    assert len(chosen_ids(world, 60)) == 8
     world.now_s += 0.5
     world.book.set_entries(world.entries)
     world.now_s += 60.0
-    assert len(ids_chosen(world, 60)) == 8
+    assert len(chosen_ids(world, 60)) == 8
 
 
 def test_endpoints_whose_entries_do_not_return_in_time_are_removed():
     world = World(count=8)
     omit(world, 0, 1, 2)
     world.now_s += 1.5
-    assert len(ids_chosen(world, 60)) == 5
+    assert len(chosen_ids(world, 60)) == 5
     world.book.drop_lapsed()
     assert len(world.book.all()) == 5
     omit(world, 0, 1, 2)
-    assert len(ids_chosen(world, 60)) == 5
+    assert len(chosen_ids(world, 60)) == 5
 
 
 def test_entries_that_vanish_while_the_store_answers_are_removed_at_once():
     world = World(count=8)
     omit(world, 0, 1, 2, store_was_away=False)
-    assert len(ids_chosen(world, 60)) == 5
+    assert len(chosen_ids(world, 60)) == 5
 
 
 def test_single_entry_that_vanishes_is_removed_at_once():
     world = World(count=8)
     omit(world, 0)
-    assert len(ids_chosen(world, 60)) == 7
+    assert len(chosen_ids(world, 60)) == 7
 
 
 def test_draining_endpoints_whose_entries_vanish_are_removed_at_once():
@@ -237,13 +239,13 @@
 
 # Cold endpoints.
 
-COLD = WarmUpTraits(cold_s=3.0, requests_per_s=4.0)
+WARM_UP = WarmUpTraits(cold_s=3.0, requests_per_s=4.0)
 
 
-class ColdWorld(World):
-    """A fleet of eight routers, this one among the four that may send to any cold endpoint."""
+class WarmUpWorld(World):
+    """A world of eight routers; ranks below 4 may send requests to cold endpoints."""
 
-    def __init__(self, count=3, warm_up=COLD, rank=0, members_read=True, **fields):
+    def __init__(self, count=3, warm_up=WARM_UP, rank=0, members_read=True, **fields):
         super().__init__(count=0)
         self.peers = PeerBook("10.1.0.0:1", lambda: self.now_s)
         for number in range(1, 8):
@@ -263,7 +265,7 @@
         self.entries = {}
         for number in range(count):
             self.add(number, **fields)
-        self.take_in()
+        self.apply_entries()
 
     def add(self, number, **fields):
         self.entries[f"e-{number}"] = EndpointEntry(
@@ -275,11 +277,11 @@
             **fields,
         )
 
-    def take_in(self):
+    def apply_entries(self):
         self.book.set_entries(dict(self.entries))
 
-    def chosen(self, span_s=1.0, times=50):
-        """Return how often each endpoint is chosen in a span of time."""
+    def count_choices(self, span_s=1.0, times=50):
+        """Return how often each endpoint is chosen within a time span."""
         chosen = Counter()
         for _ in range(times):
             record = self.choose()
@@ -293,61 +295,61 @@
 
 
 def test_endpoints_known_from_the_start_are_warm():
-    assert all(times > 10 for times in ColdWorld().chosen().values())
+    assert all(times > 10 for times in WarmUpWorld().count_choices().values())
 
 
-@pytest.mark.parametrize("told", [0.0, 3.0])
-def test_new_endpoint_counts_as_cold_whether_or_not_its_entry_says_so(told):
-    world = ColdWorld()
-    world.add(9, cold_left_s=told)
-    world.take_in()
-    assert world.chosen()["e-9"] == 1
+@pytest.mark.parametrize("cold_left_s", [0.0, 3.0])
+def test_new_endpoint_counts_as_cold_whether_or_not_its_entry_says_so(cold_left_s):
+    world = WarmUpWorld()
+    world.add(9, cold_left_s=cold_left_s)
+    world.apply_entries()
+    assert world.count_choices()["e-9"] == 1
     world.now_s += 6.0
-    assert world.chosen()["e-9"] > 5
+    assert world.count_choices()["e-9"] > 5
 
 
 def test_cold_time_in_the_first_entry_of_an_endpoint_is_respected():
-    assert set(ColdWorld(cold_left_s=2.0).chosen().values()) == {1}
+    assert set(WarmUpWorld(cold_left_s=2.0).count_choices().values()) == {1}
 
 
 def test_cold_time_in_a_later_entry_of_an_endpoint_is_respected():
-    world = ColdWorld()
+    world = WarmUpWorld()
     world.entries["e-1"] = msgspec.structs.replace(world.entries["e-1"], cold_left_s=2.5)
-    world.take_in()
-    assert world.chosen()["e-1"] == 1
+    world.apply_entries()
+    assert world.count_choices()["e-1"] == 1
 
 
 def test_endpoint_keeps_its_warm_up_state_when_its_entry_returns():
-    world = ColdWorld()
+    world = WarmUpWorld()
     kept = world.entries.pop("e-1")
-    world.take_in()
+    world.apply_entries()
     world.entries["e-1"] = kept
-    world.take_in()
-    assert world.chosen()["e-1"] > 5
+    world.apply_entries()
+    assert world.count_choices()["e-1"] > 5
 
 
 def test_endpoints_of_a_zone_no_longer_drained_are_cold():
-    world = ColdWorld()
+    world = WarmUpWorld()
     world.book.set_drained_zones(frozenset({"zone-1"}))
-    assert world.chosen()["e-1"] == 0
+    assert world.count_choices()["e-1"] == 0
     world.book.set_drained_zones(frozenset())
-    assert world.chosen()["e-1"] == 1
-    assert world.chosen()["e-2"] > 5
+    assert world.count_choices()["e-1"] == 1
+    assert world.count_choices()["e-2"] > 5
 
 
-@pytest.mark.parametrize("world", [ColdWorld(rank=4), ColdWorld(members_read=False)])
+@pytest.mark.parametrize("world", [WarmUpWorld(rank=4), WarmUpWorld(members_read=False)])
 def test_router_without_a_share_sends_nothing_to_a_cold_endpoint(world):
     world.add(9)
-    world.take_in()
-    assert world.chosen()["e-9"] == 0
+    world.apply_entries()
+    assert world.count_choices()["e-9"] == 0
 
 
 def test_cold_endpoints_are_not_used_as_a_last_resort():
-    world = ColdWorld(rank=4)
+    world = WarmUpWorld(rank=4)
     world.add(9)
     for number in range(3):
         del world.entries[f"e-{number}"]
-        world.take_in()
+        world.apply_entries()
     assert world.choose() is None
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
@@ -356,7 +358,7 @@
 
 
 def test_pool_without_warm_up_traits_has_no_cold_endpoints():
-    world = ColdWorld(warm_up=None, rank=4)
+    world = WarmUpWorld(warm_up=None, rank=4)
     world.add(9, cold_left_s=3.0)
-    world.take_in()
-    assert world.chosen()["e-9"] > 5
+    world.apply_entries()
+    assert world.count_choices()["e-9"] > 5
