--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -431,7 +431,7 @@
     def _shortage_of(self, record: EndpointRecord, now_s: float) -> PoolShortage:
         """Return why an endpoint accepts no requests, and for how long."""
         limited = self._limits is not None and not self._is_within_limit(record)
-        limited_for_s = self._limits.callers_wait_s(record.incarnation) if limited else 0.0
+        limited_for_s = self._limits.fleet_wait_s(record.incarnation) if limited else 0.0
         shortages = (
             PoolShortage(Reason.ENDPOINTS_BACKING_OFF, record.availability.backoff_left_s(now_s)),
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
