--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -130,7 +130,7 @@
     assert engines.choices(long_prompts())[1] > 0
 
 
-def test_measured_intervals_expire():
+def test_measured_gaps_expire():
     engines = Engines(ONE_SLOWER_GAPS_MS)
     engines.run_streams()
     engines.now_s += 60.0
