--- a/turnward/gateway/engine_speed.py
+++ b/turnward/gateway/engine_speed.py
@@ -21,7 +21,7 @@
 #: Quantile of the gaps that counts as undisturbed. It is low because long prompts hold up some of
 #: the events, so a mean or median would measure the load.
 _QUIET_QUANTILE = 0.25
-#: A gap of at least this many times the undisturbed one counts as held up.
+#: A gap longer than this many times the undisturbed one counts as held up.
 _HELD_UP_FACTOR = 3.0
 _HELD_UP_WINDOW = 64
 _MIN_HELD_UP_GAPS = 12
