--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -9,7 +9,7 @@
 from turnward.gateway import EndpointPool, EngineTraits, Repeat
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.tests.harness import KEY, Harness, answer_head, answered, encode_events
-from turnward.gateway.tests.test_forwarding import reason
+from turnward.gateway.tests.test_forwarding import error_reason
 
 TOKENS_PER_MS = 50
 PROMPT_TOKENS = 10_000
@@ -110,7 +110,7 @@
     served_at_capacity = CAPACITY_PER_S * BURST_S
     assert burst.count_in_target() >= served_at_capacity
     assert burst.count_in_target() >= 2 * without_admission.count_in_target()
-    assert {reason(caller) for caller in burst.refused()} == {"overloaded"}
+    assert {error_reason(caller) for caller in burst.refused()} == {"overloaded"}
     assert all(burst.started_after_s[caller] < 0.05 for caller in burst.refused())
 
 
