--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -52,7 +52,7 @@
         Whether it accepts requests.
     abandoned : AbandonedRuns
         Own runs that were abandoned recently.
-    pace : EventGapTracker
+    gap_tracker : EventGapTracker
         Gaps between the events of own streams.
     speed_class : SpeedClass
         Its speed relative to the others of its pool.
@@ -69,14 +69,14 @@
         "abandoned",
         "availability",
         "entry",
+        "gap_tracker",
         "in_flight",
         "incarnation",
         "lapsed_s",
         "opening",
-        "gap_tracker",
-        "speed_class",
         "pool",
         "prefill_tokens",
+        "speed_class",
         "warm_up",
     )
 
