--- a/turnward/admission/overload.py
+++ b/turnward/admission/overload.py
@@ -7,7 +7,7 @@
 
 #: Expected remaining time of an overload as a share of its age.
 _REMAINING_SHARE = 0.5
-#: Upper limit of the expected remaining time.
+#: Upper limit of the expected remaining time: callers wait for at most a third of their time limit.
 _MAX_REMAINING_S = 4.0
 #: Time without refusals that ends an overload period.
 _IDLE_TIMEOUT_S = 1.0
