--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -489,7 +489,7 @@
             pass
         simulation.step(("time", 0, 0.1))
     answer_all_calls(simulation, 2.0)
-    return simulation.routers[0]._log.with_event("prepaid.folded")[0]
+    return simulation.routers[0]._log.of("prepaid.folded")[0]
 
 
 def test_successor_that_reaches_the_store_late_counts_no_spending_after_its_start():
