--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -132,8 +132,8 @@
     simulation = TokenSimulation(2, prepaid=250_000)
     simulation.harness.network.advance(1.0)
     simulation.run_traffic(9.0, 1 / 8)
-    taken = len(simulation.harness.logs[0].with_event("prepaid.taken"))
-    while len(simulation.harness.logs[0].with_event("prepaid.taken")) == taken:
+    taken = len(simulation.harness.logs[0].of("prepaid.taken"))
+    while len(simulation.harness.logs[0].of("prepaid.taken")) == taken:
         simulation.run_traffic(0.05, 0.05)
     simulation.harness.network.advance(0.05)
     simulation.restart(0, after_s=60.0)
@@ -147,8 +147,7 @@
     simulation = simulate_unclaimed_tokens()
     assert simulation.used_tokens <= simulation.prepaid
     assert [
-        line["unattributed"] > 0
-        for line in simulation.harness.logs[1].with_event("prepaid.restored")
+        line["unattributed"] > 0 for line in simulation.harness.logs[1].of("prepaid.restored")
     ] == [True]
 
 
