--- a/turnward/gateway/configuration.py
+++ b/turnward/gateway/configuration.py
@@ -15,7 +15,7 @@
     "EndpointEntry",
     "EngineTraits",
     "EndpointPool",
-    "Repeat",
+    "RetryPolicy",
     "Route",
     "RouteTable",
     "WarmUpTraits",
@@ -24,7 +24,7 @@
 ]
 
 
-class Repeat:
+class RetryPolicy:
     """How often a request of a route may run; values of ``Route.repeat``."""
 
     ANY = "any"
@@ -67,7 +67,7 @@
     host: str
     path_prefix: str
     pools: tuple[WeightedPool, ...]
-    repeat: str = Repeat.ONCE
+    repeat: str = RetryPolicy.ONCE
     time_limit_s: float = 30.0
     target_s: float = 1.0
     attempts: int = 1
@@ -79,12 +79,12 @@
     @property
     def streams(self) -> bool:
         """Whether answers are event streams."""
-        return self.repeat == Repeat.STREAM
+        return self.repeat == RetryPolicy.STREAM
 
     @property
-    def may_repeat(self) -> bool:
+    def allows_rerun(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.repeat == Repeat.ANY or (self.streams and self.resumable)
+        return self.repeat == RetryPolicy.ANY or (self.streams and self.resumable)
 
     def choose_pool(self, draw: random.Random) -> str:
         """Return a pool, drawn by weight."""
@@ -270,7 +270,7 @@
         self.workspaces = {workspace.name: workspace for workspace in configuration.workspaces}
         self.pause_targets_s = _pause_targets_s(configuration.routes)
         self.targets_s = _shortest_targets_s(configuration.routes)
-        self.most_urgent = _most_urgent(configuration.routes)
+        self.most_urgent_priorities = _most_urgent(configuration.routes)
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of a path, or None."""
@@ -285,6 +285,6 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def workspace_of(self, key: str) -> Workspace | None:
+    def workspace_for_key(self, key: str) -> Workspace | None:
         """Return the workspace that holds a key, or None."""
         return self._by_key.get(key)
--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -73,7 +73,7 @@
         availability = record.availability
         rest_s = availability.backoff_left_s(self._clock())
         self.feedback_exchange.note(record.incarnation, availability.draining, rest_s)
-        self._metrics.endpoint_words.labels(record.entry.pool, hold).inc()
+        self._metrics.feedback_reports.labels(record.entry.pool, hold).inc()
         request_id = header_value(answer_headers, self._dialect.request_id) or b""
         self._log.belief(
             "endpoint.said",
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -233,7 +233,7 @@
         values = header_values(self._request.headers, b"authorization")
         scheme, _, key = values[0].partition(b" ") if len(values) == 1 else (b"", b"", b"")
         if scheme.lower() == self._forwarder.dialect.key_scheme.lower():
-            self._workspace = routes.workspace_of(key.strip().decode("latin-1"))
+            self._workspace = routes.workspace_for_key(key.strip().decode("latin-1"))
         if self._workspace is None:
             self._refuse_unknown(401, Reason.NO_KEY)
             return False
@@ -280,7 +280,7 @@
         if accounts is None or workspace is None or workspace.prepaid_tokens is None or not tokens:
             self._gather_body()
             return
-        may_run_again = self._route.may_repeat and self._route.attempts > 1
+        may_run_again = self._route.allows_rerun and self._route.attempts > 1
         ahead = self._prompt.output_tokens if may_run_again else 0
         answer = accounts.reserve(workspace.name, tokens, self.priority, ahead)
         if isinstance(answer, defer.Deferred):
@@ -538,7 +538,7 @@
             return NoRetryReason.OVER
         if not self._replayable:
             return NoRetryReason.BODY_NOT_KEPT
-        if ran and not self._route.may_repeat:
+        if ran and not self._route.allows_rerun:
             return NoRetryReason.RUNS_ONCE
         if self._request.head_sent and not self.resumes:
             return NoRetryReason.ANSWER_BEGUN
@@ -698,7 +698,7 @@
             return False
         sure = quarantine.verdict(self._content) is Verdict.SURE
         reason = Reason.CRASHES_ENDPOINTS if sure else Reason.MAY_CRASH_ENDPOINTS
-        self._forwarder.metrics.requests_held.labels(self._pool, reason).inc()
+        self._forwarder.metrics.requests_quarantined.labels(self._pool, reason).inc()
         self._refuse(503, reason)
         return True
 
@@ -882,4 +882,4 @@
     @property
     def must_run_once(self) -> bool:
         """Whether a second run is ruled out."""
-        return not self._route.may_repeat
+        return not self._route.allows_rerun
--- a/turnward/gateway/logs.py
+++ b/turnward/gateway/logs.py
@@ -174,7 +174,7 @@
         self._left_out[what] += 1
         self._left_out_total += 1
 
-    def take_left_out(self) -> int:
+    def take_dropped_count(self) -> int:
         """Return how many lines were left out since the last call."""
         taken, self._left_out_total = self._left_out_total, 0
         return taken
--- a/turnward/gateway/metrics.py
+++ b/turnward/gateway/metrics.py
@@ -54,14 +54,14 @@
         self.endpoints_limited = self._gauge(
             "endpoints_limited", "Endpoints that name a rate limit."
         )
-        self.contents_held = self._gauge(
+        self.contents_quarantined = self._gauge(
             "contents_held", "Contents held back, since their runs ended endpoints."
         )
         self.requests = self._counter("requests", "Requests ended.", ["pool", "outcome"])
         self.attempts_failed = self._counter(
             "attempts_failed", "Sends that brought no answer to pass on.", ["pool", "how"]
         )
-        self.requests_held = self._counter(
+        self.requests_quarantined = self._counter(
             "requests_held",
             "Requests refused, since their content is held back.",
             ["pool", "reason"],
@@ -69,7 +69,7 @@
         self.requests_overloaded = self._counter(
             "requests_overloaded", "Requests refused, since all queues are too long.", ["pool"]
         )
-        self.endpoint_words = self._counter(
+        self.feedback_reports = self._counter(
             "endpoint_words", "Times endpoints newly asked to be sent nothing.", ["pool", "hold"]
         )
         self.request_seconds = self._histogram("request_seconds", "From head to end.", ["pool"])
@@ -77,12 +77,12 @@
             "first_event_seconds", "From head to the first event.", ["pool"]
         )
         self.store_calls = self._counter("store_calls", "Calls to the store.", ["call", "result"])
-        self.store_returns = self._counter(
+        self.store_rollbacks = self._counter(
             "store_returns", "Times the store came back from an older copy.", []
         )
-        self.lines_left_out = self._counter("log_lines_left_out", "Log lines left out.", [])
+        self.lines_dropped = self._counter("log_lines_left_out", "Log lines left out.", [])
 
-    def calls_by_kind(self) -> dict[str, int]:
+    def store_call_counts(self) -> dict[str, int]:
         """Return the calls to the store so far, by ``call/result``."""
         return {
             "/".join(sample.labels.values()): int(sample.value)
@@ -91,7 +91,7 @@
             if sample.name.endswith("_total")
         }
 
-    def tell_refused_rows(self, counts: dict[tuple[str, str], int]) -> None:
+    def set_refused_rows(self, counts: dict[tuple[str, str], int]) -> None:
         """Set how many rows stand refused, by table and reason."""
         self.rows_refused.clear()
         for (table, reason), count in counts.items():
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -158,7 +158,7 @@
         self._draw = draw
         self._accounts = accounts
         self._quarantine = quarantine
-        self._word_news = word_news
+        self._feedback_exchange = word_news
         self._limits = limits
         self._reactor = reactor
         self._identity = identity
@@ -241,9 +241,9 @@
             stopping=self.stopping,
             short=self._accounts.short,
             spare=tuple(self._accounts.spare()[:_SPARE_LIMIT]) if self._some_short() else (),
-            zone_orders=self._state.told_orders(),
+            zone_orders=self._state.announced_zone_orders(),
             quarantine=self._quarantine.word(),
-            words=self._word_news.words(),
+            words=self._feedback_exchange.words(),
             limits=self._limits.told(),
             accounts=self._accounts.updates.told(),
         )
@@ -256,9 +256,9 @@
         """Take in what a peer tells, and fetch what it, or another, knows better."""
         if message.address != self._book.own_address:
             self._layouts[message.address] = message.layout
-            self._state.adopt_told_orders(message.zone_orders, f"peer {message.address}")
+            self._state.adopt_announced_zone_orders(message.zone_orders, f"peer {message.address}")
             self._quarantine.take_in(message.quarantine)
-            self._word_news.take_in(message.words)
+            self._feedback_exchange.take_in(message.words)
             self._limits.take_in(message.limits)
         if isinstance(message, Digest):
             self._hear_digest(message)
@@ -359,7 +359,7 @@
     def _adopt_configuration(self, body: bytes, address: str) -> None:
         copy = unpack(body, ConfigurationCopy)
         # Orders first: with the configuration a router begins to serve.
-        self._state.adopt_told_orders(copy.zone_orders, f"peer {address}")
+        self._state.adopt_announced_zone_orders(copy.zone_orders, f"peer {address}")
         self._state.adopt_configuration(copy.configuration, f"peer {address}", copy.row_as_of)
 
     def _adopt_endpoints(self, body: bytes, address: str) -> None:
@@ -369,7 +369,7 @@
     def serve(self, request: InboundRequest) -> None:
         """Answer a peer's question for state."""
         state = self._state
-        orders = state.told_orders()
+        orders = state.announced_zone_orders()
         if request.target == CONFIGURATION_PATH and state.routes and orders is not None:
             row = state.row_version
             copy = ConfigurationCopy(state.routes.configuration, row.number, orders, row.era)
--- a/turnward/gateway/pool_admission.py
+++ b/turnward/gateway/pool_admission.py
@@ -39,5 +39,5 @@
     def _excess_ms(self, pool: str, priority: int, queue_ms: float) -> float:
         routes = self._state.routes
         target_s = routes.targets_s.get(pool, 0.0)
-        rank = max(0, priority - routes.most_urgent.get(pool, 0))
+        rank = max(0, priority - routes.most_urgent_priorities.get(pool, 0))
         return self._rule.excess_ms(queue_ms, target_s, rank) if target_s else 0.0
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -200,7 +200,7 @@
             self._limits,
         )
         news = EndpointReporter(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
-        self._word_news = news.feedback_exchange
+        self._feedback_exchange = news.feedback_exchange
         self._limits.on_peer_limit = news.report_peer_rate_limit
         self.endpoints.on_speed_class = news.report_speed_class
         self.endpoints.on_feedback = news.report_feedback
@@ -238,7 +238,7 @@
             self.endpoints.loads,
             self.accounts,
             self.quarantine,
-            self._word_news,
+            self._feedback_exchange,
             self._limits,
             log,
             self._draw,
@@ -394,7 +394,7 @@
 
     def _store_returned(self, era: int) -> None:
         """Write anew what the store may have lost of this router's rows."""
-        self._metrics.store_returns.inc()
+        self._metrics.store_rollbacks.inc()
         self._log.belief("store.returned", era=era)
         self._quarantine_rows.note_return()
         defer.ensureDeferred(self._announce())
@@ -469,13 +469,13 @@
             return
         metrics = self._metrics
         metrics.open_requests.set(len(self.forwarder.open_requests))
-        metrics.lines_left_out.inc(self._log.take_left_out())
+        metrics.lines_dropped.inc(self._log.take_dropped_count())
         metrics.peers_live.set(self.peers.overlay.live_routers - 1)
         metrics.configuration_version.set(self.state.configuration_version)
         metrics.unconfirmed_seconds.set(min(1e6, self.state.unconfirmed_for_s()))
         metrics.zones_drained.set(len(self.state.zone_orders.drained))
-        metrics.tell_refused_rows(self.state.refused_rows.counts())
-        metrics.contents_held.set(self.quarantine.held_count)
+        metrics.set_refused_rows(self.state.refused_rows.counts())
+        metrics.contents_quarantined.set(self.quarantine.held_count)
         metrics.peer_messages_refused.set(self.peers.refused_count)
         metrics.endpoints_limited.set(self._limits.limited_count)
         request.answer(200, [(b"content-type", metrics.content_type)], metrics.text())
@@ -578,7 +578,7 @@
         overlay = self.peers.overlay
         self._log.event(
             "process.figures",
-            store_calls=self._metrics.calls_by_kind(),
+            store_calls=self._metrics.store_call_counts(),
             open_requests=len(self.forwarder.open_requests),
             members=self.book.most_live,
             live=overlay.live_routers,
--- a/turnward/gateway/sources.py
+++ b/turnward/gateway/sources.py
@@ -56,7 +56,7 @@
         """See ``FeedListenerBase.table_read``; orders that are not there have ended."""
         # Before the configuration, with which a router begins to serve.
         orders = self._orders_in(table)
-        self._state.adopt_standing_orders(orders, table.version, "store", table.provisional)
+        self._state.adopt_zone_order_table(orders, table.version, "store", table.provisional)
         self._adopt_configuration(table)
 
     def rows_changed(self, changes: TableChanges) -> None:
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -116,7 +116,7 @@
         if self.zone_orders.merge(orders):
             self._tell("zone_orders", source)
 
-    def adopt_standing_orders(
+    def adopt_zone_order_table(
         self, orders: Iterable[ZoneOrder], version: int, source: str, provisional: bool = False
     ) -> None:
         """Take in all orders that stood at a version of the store.
@@ -130,14 +130,16 @@
         if self.zone_orders.merge_table(orders, version):
             self._tell("zone_orders", source)
 
-    def adopt_told_orders(self, orders: tuple[ZoneOrder, ...] | None, source: str) -> None:
+    def adopt_announced_zone_orders(
+        self, orders: tuple[ZoneOrder, ...] | None, source: str
+    ) -> None:
         """Take in all orders that another router knows; None when it knows of none yet."""
         if orders is None:
             return
         self.zone_orders_known = True
         self.adopt_zone_orders(orders, source)
 
-    def told_orders(self) -> tuple[ZoneOrder, ...] | None:
+    def announced_zone_orders(self) -> tuple[ZoneOrder, ...] | None:
         """Return all orders as others are told of them; None while they are not known."""
         return self.zone_orders.all() if self.zone_orders_known else None
 
--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -15,7 +15,7 @@
     GatewayMetrics,
     GatewayProcess,
     GatewaySettings,
-    Repeat,
+    RetryPolicy,
     Route,
     WeightedPool,
     Workspace,
@@ -49,7 +49,7 @@
     def flush(self):
         """Nothing waits."""
 
-    def take_left_out(self):
+    def take_dropped_count(self):
         return 0
 
     def of(self, event):
@@ -228,7 +228,7 @@
             "host": HOST.decode(),
             "path_prefix": "/a/",
             "pools": (WeightedPool("pool"),),
-            "repeat": Repeat.ANY,
+            "repeat": RetryPolicy.ANY,
             "attempts": 2,
             "time_limit_s": 5.0,
         }
--- a/turnward/gateway/tests/test_engine_speed.py
+++ b/turnward/gateway/tests/test_engine_speed.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from turnward.gateway import Configuration, EndpointEntry, EngineTraits, Repeat, RouteTable
+from turnward.gateway import Configuration, EndpointEntry, EngineTraits, RetryPolicy, RouteTable
 from turnward.gateway.choice import EndpointBook
 from turnward.gateway.engine_speed import (
     EventGaps,
@@ -167,8 +167,8 @@
 
 def test_pause_target_of_a_pool_is_the_shortest_of_its_streams():
     routes = [
-        Harness.route(name="a", path_prefix="/a/", repeat=Repeat.STREAM, pause_target_s=0.5),
-        Harness.route(name="b", path_prefix="/b/", repeat=Repeat.STREAM, pause_target_s=0.3),
+        Harness.route(name="a", path_prefix="/a/", repeat=RetryPolicy.STREAM, pause_target_s=0.5),
+        Harness.route(name="b", path_prefix="/b/", repeat=RetryPolicy.STREAM, pause_target_s=0.3),
         Harness.route(name="c", path_prefix="/c/", pause_target_s=0.1),
     ]
     table = RouteTable(Configuration(version=1, routes=tuple(routes)))
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("weighs_pace", [True, False])
 def test_gateways_measure_speed_from_forwarded_streams(weighs_pace):
     harness = Harness(
-        pools=(ENGINE_POOL,), repeat=Repeat.STREAM, time_limit_s=20.0, pause_target_s=0.3
+        pools=(ENGINE_POOL,), repeat=RetryPolicy.STREAM, time_limit_s=20.0, pause_target_s=0.3
     )
     harness.mechanisms = Mechanisms(weighs_pace=weighs_pace)
     for gap_s in (0.02, 0.03, 0.02):
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -103,5 +103,5 @@
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.gateways[0]._word_news.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
+    harness.gateways[0]._feedback_exchange.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
     assert harness.ask().status == 200
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from turnward.gateway import Repeat
+from turnward.gateway import RetryPolicy
 from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.tests.feedback_simulation import WordPlay
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("word", [EndpointFeedback(draining=True), EndpointFeedback(rest_s=2.0)])
 def test_broken_stream_resumes_on_an_available_endpoint(word):
-    harness = Harness(pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=True, attempts=3)
+    harness = Harness(pools=(ENGINE_POOL,), repeat=RetryPolicy.STREAM, resumable=True, attempts=3)
     for _ in range(3):
         harness.endpoint(stream_events(6, up_to=2, then=lambda endpoint, request: None))
     harness.ready()
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from turnward.gateway import Repeat
+from turnward.gateway import RetryPolicy
 from turnward.gateway.tests.harness import (
     DIALECT,
     ENGINE_POOL,
@@ -93,7 +93,7 @@
     assert not harness.gateways[0].ready
 
 
-@pytest.mark.parametrize("repeat", [Repeat.ANY, Repeat.ONCE, Repeat.STREAM])
+@pytest.mark.parametrize("repeat", [RetryPolicy.ANY, RetryPolicy.ONCE, RetryPolicy.STREAM])
 def test_refusal_by_full_endpoint_is_reported_as_not_run(repeat):
     harness = Harness(repeat=repeat, attempts=1)
     harness.endpoint(answer_not_run)
@@ -105,7 +105,7 @@
 
 
 def test_refused_request_goes_to_another_endpoint():
-    harness = Harness(repeat=Repeat.ONCE, attempts=2)
+    harness = Harness(repeat=RetryPolicy.ONCE, attempts=2)
     for _ in range(2):
         harness.endpoint(answer_not_run)
     harness.endpoint(answer_ok)
@@ -120,7 +120,7 @@
     [abort_connection, raw_answer(b"nonsense\r\n\r\n"), raw_answer(b"HTTP/1.1 200 OK\r\n")],
 )
 def test_request_that_must_not_run_twice_is_sent_once(behave):
-    harness = Harness(repeat=Repeat.ONCE, attempts=3, time_limit_s=1.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, attempts=3, time_limit_s=1.0)
     for _ in range(3):
         harness.endpoint(behave)
     harness.ready()
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("behave", [abort_connection, raw_answer(b"nonsense\r\n\r\n")])
 def test_repeatable_request_is_sent_to_another_endpoint(behave):
-    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
     harness.endpoint(behave)
     harness.endpoint(answer_ok)
     harness.ready()
@@ -139,7 +139,7 @@
 
 
 def test_retry_budget_is_not_charged_without_another_endpoint():
-    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=3)
     harness.endpoint(abort_connection)
     harness.ready()
     assert harness.ask().status == 502
@@ -151,7 +151,7 @@
     def fail(endpoint, request):
         request.answer(500, answer_head(request), b"own words")
 
-    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=3)
     harness.endpoint(fail)
     harness.ready()
     caller = harness.ask()
@@ -159,7 +159,7 @@
 
 
 def test_attempts_setting_limits_endpoints_per_request():
-    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
     for _ in range(4):
         harness.endpoint(abort_connection)
     harness.ready()
@@ -168,7 +168,7 @@
 
 
 def test_unreachable_endpoints_are_skipped_without_sending():
-    harness = Harness(repeat=Repeat.ONCE, attempts=1)
+    harness = Harness(repeat=RetryPolicy.ONCE, attempts=1)
     dead = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.endpoint(answer_ok)
     harness.ready()
@@ -181,7 +181,7 @@
     def fails(endpoint, request):
         request.answer(500, answer_head(request, endpoint.endpoint_id.encode()), b"broken")
 
-    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
     harness.endpoint(fails)
     harness.endpoint(fails)
     harness.ready()
@@ -191,7 +191,7 @@
 
 
 def test_response_without_seal_is_not_forwarded():
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(
         raw_answer(b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nContent-Length: 2\r\n\r\nno")
     )
@@ -203,7 +203,7 @@
     def busy(endpoint, request):
         request.answer(503, answer_head(request), b"later")
 
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(busy)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"")
@@ -212,7 +212,7 @@
 
 
 def test_response_with_unrequested_encoding_is_not_forwarded():
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(
         raw_answer(
             b"HTTP/1.1 200 OK\r\nRequest-Id: <id>\r\nAnswer-Seal: s\r\n"
@@ -228,7 +228,7 @@
 
 
 def test_late_response_to_earlier_request_is_skipped():
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(raw_answer(OTHER + GOOD))
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"")
@@ -236,7 +236,7 @@
 
 
 def test_extra_response_closes_its_connection():
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     endpoint = harness.endpoint(raw_answer(GOOD + GOOD.replace(b"good", b"evil")))
     harness.ready()
     for _ in range(4):
@@ -249,7 +249,7 @@
         raw_answer(GOOD)(endpoint, request)
         endpoint.machine.callLater(0.1, raw_answer(OTHER), endpoint, request)
 
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(behave)
     harness.ready()
     assert harness.ask(method=b"POST", body=b"").body == b"good"
@@ -264,7 +264,7 @@
         request.write(b"half")
         endpoint.machine.callLater(0.05, request.abort)
 
-    harness = Harness(repeat=Repeat.ANY, attempts=2)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
     harness.endpoint(cut)
     harness.endpoint(lambda endpoint, request: answer_ok(endpoint, request, b"whole"))
     harness.ready()
@@ -287,7 +287,7 @@
         raw_answer(UNFRAMED)(endpoint, request)
         endpoint.machine.callLater(0.05, getattr(request._connection.transport, how))
 
-    harness = Harness(repeat=Repeat.ONCE)
+    harness = Harness(repeat=RetryPolicy.ONCE)
     harness.endpoint(behave)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"")
@@ -390,7 +390,7 @@
     def reads_nothing(endpoint, request):
         request.pause_body()
 
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=60.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=60.0)
     endpoint = harness.endpoint(reads_nothing)
     endpoint.answers_early = True
     harness.ready()
@@ -410,7 +410,7 @@
 
 
 def test_slow_caller_pauses_endpoint():
-    harness = Harness(repeat=Repeat.STREAM, time_limit_s=60.0)
+    harness = Harness(repeat=RetryPolicy.STREAM, time_limit_s=60.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
     caller = harness.send()
@@ -436,7 +436,7 @@
 
 def streaming(resumable, attempts=3):
     return Harness(
-        pools=(ENGINE_POOL,), repeat=Repeat.STREAM, resumable=resumable, attempts=attempts
+        pools=(ENGINE_POOL,), repeat=RetryPolicy.STREAM, resumable=resumable, attempts=attempts
     )
 
 
@@ -550,7 +550,7 @@
 
 
 def test_request_is_not_run_at_reassigned_address():
-    harness = Harness(repeat=Repeat.ONCE, attempts=1)
+    harness = Harness(repeat=RetryPolicy.ONCE, attempts=1)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
     endpoint.endpoint_id = "e-new"
@@ -605,7 +605,7 @@
 
 
 def test_planned_stop_completes_open_requests():
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=20.0)
     harness.endpoint(lambda e, r: e.machine.callLater(2.0, answer_ok, e, r))
     harness.ready()
     idle = harness.connect()
@@ -639,7 +639,7 @@
 
 
 def test_request_late_in_planned_stop_is_refused():
-    harness = Harness(repeat=Repeat.STREAM, time_limit_s=20.0)
+    harness = Harness(repeat=RetryPolicy.STREAM, time_limit_s=20.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
     # One request holds the process up to its limit, another begins to arrive late.
@@ -682,7 +682,7 @@
 
 
 def test_process_frozen_before_sending_sends_nothing_late():
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=2.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=2.0)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
     caller = harness.connect()
--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from turnward.gateway import Repeat
+from turnward.gateway import RetryPolicy
 from turnward.gateway.peers import PeerExchange
 from turnward.gateway.tests.harness import PEERS_PORT, READY_PORT, Harness, answer_ok, raw_answer
 
@@ -106,7 +106,7 @@
 @FUZZ
 @given(
     st.one_of(st.binary(max_size=200), ANSWERS),
-    st.sampled_from([Repeat.ANY, Repeat.ONCE, Repeat.STREAM]),
+    st.sampled_from([RetryPolicy.ANY, RetryPolicy.ONCE, RetryPolicy.STREAM]),
 )
 def test_arbitrary_bytes_from_endpoint(data, repeat):
     harness = Harness(repeat=repeat, time_limit_s=1.0, attempts=1)
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet import task
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.accounts import decode_account
 from turnward.gateway.holders import HOLDERS_PER_WORKSPACE, RendezvousHolders
 from turnward.gateway.loans import RETURNS_PATH, LoanAsk, LoanReturn
@@ -104,7 +104,7 @@
 
 def large_harness(gateways=12, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
-    fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
+    fields = {"repeat": RetryPolicy.STREAM, "time_limit_s": 9.0, "priority": 0}
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
     harness.endpoint(stream_events(4))
     harness.ready(gateways=gateways)
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.loans import LOANS_PATH, LoanAsk
 from turnward.gateway.tests.harness import (
     ENGINE_POOL,
@@ -18,7 +18,7 @@
 
 def loan_harness(gateways=2, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
-    fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
+    fields = {"repeat": RetryPolicy.STREAM, "time_limit_s": 9.0, "priority": 0}
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
     harness.endpoint(stream_events(4))
     harness.ready(gateways=gateways)
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -8,7 +8,7 @@
 import pytest
 
 from turnward.events.story import BELIEFS, CONTENTS, TOKENS, read_lines, render_line, tell_story
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.logs import BoundedLineWriter, GatewayLog
 from turnward.gateway.tests import harness as rigs
 from turnward.gateway.tests.harness import (
@@ -35,15 +35,15 @@
     return {name for row in rows for name in re.findall(r"`([a-z]+\.[a-z_]+)`", row.split("|")[1])}
 
 
-def test_page_names_every_event_and_no_other():
+def test_log_event_page_lists_exactly_the_events_in_the_code():
     assert events_of_page() == events_of_code()
 
 
-def test_story_knows_only_events_that_exist():
+def test_story_refers_only_to_documented_events():
     assert events_of_page() >= BELIEFS | TOKENS | CONTENTS
 
 
-class Told:
+class LoggingHarness:
     """A rig whose first gateway writes real lines to a file."""
 
     def __init__(self, monkeypatch, tmp_path, **fields):
@@ -71,10 +71,14 @@
     return found[-1]
 
 
-def test_walk_for_a_request_refused_for_its_budget(monkeypatch, tmp_path):
+def test_story_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=1_000)
-    told = Told(
-        monkeypatch, tmp_path, pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM
+    told = LoggingHarness(
+        monkeypatch,
+        tmp_path,
+        pools=(ENGINE_POOL,),
+        workspaces=(workspace,),
+        repeat=RetryPolicy.STREAM,
     )
     harness = told.harness
     harness.endpoint(stream_events(4))
@@ -93,8 +97,8 @@
     ("behave", "status", "words"),
     [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
-def test_walk_for_a_request_answered_502_or_504(monkeypatch, tmp_path, behave, status, words):
-    told = Told(monkeypatch, tmp_path, repeat=Repeat.ONCE, time_limit_s=1.0)
+def test_story_explains_a_request_answered_502_or_504(monkeypatch, tmp_path, behave, status, words):
+    told = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
     told.harness.endpoint(behave)
     told.harness.ready()
     caller = told.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
@@ -107,8 +111,8 @@
         find(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
-def test_walk_for_a_request_refused_while_cut_off(monkeypatch, tmp_path):
-    told = Told(monkeypatch, tmp_path)
+def test_story_explains_a_request_refused_while_the_store_is_unreachable(monkeypatch, tmp_path):
+    told = LoggingHarness(monkeypatch, tmp_path)
     told.harness.endpoint(stream_events(1))
     told.harness.ready()
     told.harness.clients[0].faults.away = True
@@ -120,8 +124,8 @@
     find(story, "store.lost", "table=configuration")
 
 
-def test_lost_and_regained_endpoints_and_peers_have_lines_of_their_own():
-    harness = Harness(repeat=Repeat.ANY, attempts=2)
+def test_lost_and_regained_endpoints_and_peers_are_logged():
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
     endpoint = harness.endpoint(abort_connection)
     harness.ready(gateways=2)
     harness.network.advance(1.0)
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -6,7 +6,13 @@
 import msgspec
 import pytest
 
-from turnward.gateway import EndpointEntry, EngineTraits, Repeat, Workspace, load_gateway_settings
+from turnward.gateway import (
+    EndpointEntry,
+    EngineTraits,
+    RetryPolicy,
+    Workspace,
+    load_gateway_settings,
+)
 from turnward.gateway.choice import ChoiceRule, EndpointBook
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.prompts import Prompt, parse_prompt_parts
@@ -19,13 +25,13 @@
     answer_ok,
     stream_events,
 )
-from turnward.gateway.tests.test_settings import GOOD
+from turnward.gateway.tests.test_settings import VALID_SETTINGS
 from turnward.settings import SettingsError
 
 ENGINE = EngineTraits(slots=8, event_tokens=5)
 
 
-class Switched(Harness):
+class MechanismsHarness(Harness):
     """A deployment whose gateways lack a mechanism."""
 
     def __init__(self, mechanisms, **fields):
@@ -33,13 +39,13 @@
         super().__init__(**fields)
 
 
-def prepaid_rig(mechanisms, prepaid_tokens=400_000):
+def prepaid_harness(mechanisms, prepaid_tokens=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid_tokens)
-    harness = Switched(
+    harness = MechanismsHarness(
         mechanisms,
         pools=(ENGINE_POOL,),
         workspaces=(workspace,),
-        repeat=Repeat.STREAM,
+        repeat=RetryPolicy.STREAM,
         time_limit_s=9.0,
         priority=3,
     )
@@ -54,7 +60,7 @@
 
 
 def test_without_loans_nothing_is_borrowed():
-    harness = prepaid_rig(Mechanisms(loans=False))
+    harness = prepaid_harness(Mechanisms(loans=False))
     for client in harness.clients:
         client.faults.away = True
     harness.network.advance(6.0)
@@ -64,8 +70,8 @@
 
 
 @pytest.mark.parametrize(("reports", "returned"), [(True, True), (False, False)])
-def test_without_reports_all_that_a_dead_router_held_counts_as_spent(reports, returned):
-    harness = prepaid_rig(Mechanisms(spend_reports=reports))
+def test_without_spend_reports_tokens_of_a_crashed_router_count_as_spent(reports, returned):
+    harness = prepaid_harness(Mechanisms(spend_reports=reports))
     assert ask_model(harness) == 200
     harness.network.advance(1.0)
     machine = harness.machines[0]
@@ -81,8 +87,8 @@
 
 
 @pytest.mark.parametrize(("urgency", "status"), [(True, 503), (False, 200)])
-def test_without_urgency_a_cut_off_router_serves_who_comes_first(urgency, status):
-    harness = prepaid_rig(Mechanisms(urgency_in_cut=urgency, loans=False))
+def test_without_urgency_a_disconnected_router_ignores_priority(urgency, status):
+    harness = prepaid_harness(Mechanisms(urgency_in_cut=urgency, loans=False))
     for client in harness.clients:
         client.faults.away = True
     harness.network.advance(16.0)
@@ -102,7 +108,7 @@
     return found
 
 
-def test_without_agreed_homes_routers_choose_apart():
+def test_without_preferred_endpoints_routers_choose_independently():
     prompts = [Prompt(5_000, 9, parse_prompt_parts(f"{n:x}:4000,own:1000")) for n in range(30)]
 
     def choices(rule, seed):
@@ -115,7 +121,7 @@
     )
 
 
-def test_without_a_weight_a_busy_home_is_left_sooner():
+def test_without_a_reread_weight_a_busy_preferred_endpoint_is_left_sooner():
     wanted = Prompt(5_000, 9, parse_prompt_parts("a1:4000,own:1000"))
     left = []
     for weight in (6.0, 1.0):
@@ -126,7 +132,7 @@
     assert left == [False, True]
 
 
-def test_without_a_cost_other_zones_are_chosen_as_often():
+def test_without_a_zone_cost_all_zones_are_used():
     def zones(rule):
         routers = book(rule)
         return {routers.choose("pool", Prompt(), None, set()).record.entry.zone for _ in range(40)}
@@ -135,7 +141,7 @@
     assert zones(ChoiceRule(zone_cost_ms=0.0)) == {"z", "other"}
 
 
-def test_without_rests_a_failed_endpoint_is_chosen_as_before():
+def test_without_backoff_a_failed_endpoint_is_still_chosen():
     def chosen(rule):
         routers = book(rule)
         routers.get("e-0").availability.failed(0.0, certain=True)
@@ -146,8 +152,8 @@
 
 
 @pytest.mark.parametrize(("repeats", "status"), [(True, 200), (False, 502)])
-def test_without_repeats_a_failure_is_passed_on(repeats, status):
-    harness = Switched(Mechanisms(repeats=repeats))
+def test_without_retries_a_failure_is_forwarded(repeats, status):
+    harness = MechanismsHarness(Mechanisms(repeats=repeats))
     harness.endpoint(abort_connection)
     harness.ready()
     harness.endpoint(answer_ok)
@@ -158,8 +164,8 @@
 
 
 @pytest.mark.parametrize("looks", [True, False])
-def test_without_a_look_for_others_a_repeat_is_used_up_for_nothing(looks):
-    harness = Switched(Mechanisms(looks_for_others=looks))
+def test_without_a_check_for_other_endpoints_the_retry_budget_is_wasted(looks):
+    harness = MechanismsHarness(Mechanisms(looks_for_others=looks))
     harness.endpoint(answer_not_run)
     harness.ready()
     # More than the 0.8 x (0.2 x 70 + 50) repeats that are allowed in the window.
@@ -169,9 +175,9 @@
     assert ("repeat_budget_used_up" in whys) is not looks
 
 
-def test_switches_stand_in_the_settings_file(tmp_path):
+def test_mechanisms_are_read_from_the_settings_file(tmp_path):
     path = tmp_path / "node.toml"
-    path.write_bytes(msgspec.toml.encode(GOOD) + b"mechanisms.loans = false\n")
+    path.write_bytes(msgspec.toml.encode(VALID_SETTINGS) + b"mechanisms.loans = false\n")
     assert load_gateway_settings(str(path)).mechanisms == Mechanisms(loans=False)
 
 
@@ -185,8 +191,8 @@
         (b"mechanisms = 4", "mechanisms"),
     ],
 )
-def test_wrong_switches_are_named(tmp_path, line, named):
+def test_errors_name_invalid_mechanisms(tmp_path, line, named):
     path = tmp_path / "node.toml"
-    path.write_bytes(msgspec.toml.encode(GOOD) + line + b"\n")
+    path.write_bytes(msgspec.toml.encode(VALID_SETTINGS) + line + b"\n")
     with pytest.raises(SettingsError, match=named):
         load_gateway_settings(str(path))
--- a/turnward/gateway/tests/test_overload.py
+++ b/turnward/gateway/tests/test_overload.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from turnward.gateway import EndpointPool, EngineTraits, Repeat
+from turnward.gateway import EndpointPool, EngineTraits, RetryPolicy
 from turnward.gateway.mechanisms import Mechanisms
 from turnward.gateway.tests.harness import KEY, Harness, answer_head, answered, encode_events
 from turnward.gateway.tests.test_forwarding import error_reason
@@ -52,7 +52,9 @@
         self.harness = Harness(
             pools=(POOL,),
             routes=(
-                Harness.route(repeat=Repeat.STREAM, target_s=TARGET_S, time_limit_s=10.0, **route),
+                Harness.route(
+                    repeat=RetryPolicy.STREAM, target_s=TARGET_S, time_limit_s=10.0, **route
+                ),
             ),
         )
         self.harness.mechanisms = Mechanisms(admission=admission)
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -19,7 +19,7 @@
     fold_predecessors,
     ungranted_tokens,
 )
-from turnward.gateway.configuration import Repeat, Workspace
+from turnward.gateway.configuration import RetryPolicy, Workspace
 from turnward.gateway.loans import LenderBase, LoanOffer, LoanRule
 from turnward.gateway.prepaid import ROW_NAME, TABLE, BudgetRefusal, PrepaidAccounts
 from turnward.gateway.spending import SpendBoundRule, SpendReports
@@ -757,7 +757,7 @@
     harness = Harness(
         pools=(ENGINE_POOL,),
         workspaces=(Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid),),
-        repeat=Repeat.STREAM,
+        repeat=RetryPolicy.STREAM,
         time_limit_s=10.0,
     )
     harness.endpoint(stream_events(4))
@@ -785,7 +785,7 @@
     harness = Harness(
         pools=(ENGINE_POOL,),
         workspaces=(workspace,),
-        repeat=Repeat.STREAM,
+        repeat=RetryPolicy.STREAM,
         resumable=True,
         attempts=2,
     )
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.tests.harness import (
     ENGINE_POOL,
     KEY,
@@ -28,7 +28,7 @@
 def test_restarted_gateways_serve_again_and_keep_the_limit():
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     harness = Harness(
-        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0
+        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=RetryPolicy.STREAM, time_limit_s=9.0
     )
     endpoint = harness.endpoint(stream_events(4))
     harness.ready(gateways=2)
@@ -52,7 +52,7 @@
     """Guards against successors that fail on expired reports and get no tokens."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     harness = Harness(
-        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0
+        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=RetryPolicy.STREAM, time_limit_s=9.0
     )
     harness.endpoint(stream_events(4))
     harness.ready(gateways=2)
@@ -101,7 +101,7 @@
 
 
 def test_retries_stay_within_the_fleets_budget_when_every_endpoint_fails():
-    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=3)
     for _ in range(4):
         harness.endpoint(abort_connection)
     harness.ready(gateways=2)
@@ -120,7 +120,7 @@
     def respond_early(endpoint, request):
         request.answer(200, answer_head(request), b"early")
 
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=20.0)
     endpoint = harness.endpoint(respond_early)
     endpoint.answers_early = True
     harness.ready()
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("declared", [True, False])
 def test_large_body_received_before_the_endpoint_is_reached_is_framed_once(declared):
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=20.0)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
     body = b"GET /a/smuggled HTTP/1.1\r\n\r\n" + b"x" * 299_970
@@ -156,13 +156,13 @@
 
 
 def test_configuration_changes_under_load_interrupt_no_request():
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=9.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=9.0)
     harness.endpoint(lambda e, r: e.machine.callLater(0.5, answer_ok, e, r))
     harness.ready()
     callers = []
     for version in range(20):
         callers.append(harness.send(method=b"POST", body=b""))
-        harness.configure(routes=(harness.route(repeat=Repeat.ONCE, priority=version % 9),))
+        harness.configure(routes=(harness.route(repeat=RetryPolicy.ONCE, priority=version % 9),))
         harness.network.advance(0.05)
     assert harness.network.advance_until(lambda: all(answered(caller) for caller in callers))
     assert {caller.status for caller in callers} == {200}
--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.account_updates import AccountUpdates
 from turnward.gateway.restoring import AccountRestorer
 from turnward.gateway.tests.harness import ENGINE_POOL, KEY, stream_events
@@ -31,7 +31,7 @@
             behave=stream_events(4),
             pools=(ENGINE_POOL,),
             workspaces=(workspace,),
-            repeat=Repeat.STREAM,
+            repeat=RetryPolicy.STREAM,
             time_limit_s=5.0,
         )
         self.prepaid = prepaid
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -132,9 +132,9 @@
     state.adopt_configuration(Configuration(version=1), "peer")
     state.endpoints_version = 3
     assert not state.complete
-    state.adopt_told_orders(None, "peer")
+    state.adopt_announced_zone_orders(None, "peer")
     assert not state.complete
-    state.adopt_told_orders((ZoneOrder("north", 5, True),), "peer")
+    state.adopt_announced_zone_orders((ZoneOrder("north", 5, True),), "peer")
     assert state.complete
     assert state.zone_orders.drained == {"north"}
 
@@ -156,7 +156,7 @@
     feed.table_read(TableChanges((row("north", 4), row("south", 5)), 6))
     feed.table_read(TableChanges((row("south", 5),), 9))
     assert state.zone_orders.drained == {"south"}
-    state.adopt_told_orders((ZoneOrder("north", 4, True),), "peer")
+    state.adopt_announced_zone_orders((ZoneOrder("north", 4, True),), "peer")
     assert state.zone_orders.drained == {"south"}
 
 
--- a/turnward/settings/tests/test_settings.py
+++ b/turnward/settings/tests/test_settings.py
@@ -12,7 +12,7 @@
 
 @settings(max_examples=100, derandomize=True, database=None, deadline=None)
 @given(raw=st.dictionaries(st.sampled_from(RouterSettings.__struct_fields__), VALUES))
-def test_any_settings_give_faults_not_exceptions(raw):
+def test_invalid_settings_are_reported_without_exceptions(raw):
     value, faults = convert_checked(raw, RouterSettings)
     assert value is None
     assert faults
@@ -26,7 +26,7 @@
         min_size=1,
     )
 )
-def test_any_resources_give_faults_not_exceptions(raw):
+def test_invalid_resources_are_reported_without_exceptions(raw):
     resources, faults = parse_resources(raw, "file")
     assert faults or not any(raw.values())
     assert resources.by_kind.keys() == KINDS.keys()
