--- a/turnward/gateway/endpoint_reporter.py
+++ b/turnward/gateway/endpoint_reporter.py
@@ -75,7 +75,7 @@
         availability = record.availability
         backoff_s = availability.backoff_left_s(self._clock())
         self.feedback_exchange.record(record.incarnation, availability.draining, backoff_s)
-        self._metrics.endpoint_words.labels(record.entry.pool, reason).inc()
+        self._metrics.feedback_reports.labels(record.entry.pool, reason).inc()
         request_id = header_value(response_headers, self._dialect.request_id) or b""
         self._log.belief(
             "endpoint.said",
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -101,10 +101,10 @@
     harness.ready()
     set_order(harness, "north")
     harness.network.advance(0.5)
-    harness.clients[0].faults.away = True
+    harness.clients[0].faults.unavailable = True
     harness.network.advance(10.0)
     assert not count_served(harness, north)
-    harness.clients[0].faults.away = False
+    harness.clients[0].faults.unavailable = False
     harness.network.advance(3.0)
     harness.machines[0].kill()
     harness.machines[0].restart()
@@ -118,7 +118,7 @@
     north, _ = endpoints_in_two_zones(harness)
     harness.ready(gateways=3)
     harness.network.advance(1.0)
-    harness.clients[2].faults.away = True
+    harness.clients[2].faults.unavailable = True
     set_order(harness, "north")
     harness.network.advance(1.0)
     assert not count_served(harness, north, gateways=(2,))
@@ -132,9 +132,9 @@
     state.adopt_configuration(Configuration(version=1), "peer")
     state.endpoints_version = 3
     assert not state.complete
-    state.adopt_told_orders(None, "peer")
+    state.adopt_announced_zone_orders(None, "peer")
     assert not state.complete
-    state.adopt_told_orders((ZoneOrder("north", 5, True),), "peer")
+    state.adopt_announced_zone_orders((ZoneOrder("north", 5, True),), "peer")
     assert state.complete
     assert state.zone_orders.drained == {"north"}
 
@@ -142,7 +142,7 @@
 def listener():
     state = FleetState(lambda: 0.0)
     refused_keys = []
-    state.refused_rows.on_refused = lambda row: refused_keys.append(row.key.key)
+    state.unreadable_rows.on_unreadable = lambda row: refused_keys.append(row.key.key)
     decode = msgspec.json.Decoder(Configuration).decode
     return state, refused_keys, ConfigurationListener(state, "all", "drained/", decode)
 
@@ -156,7 +156,7 @@
     feed.table_read(TableChanges((row("north", 4), row("south", 5)), 6))
     feed.table_read(TableChanges((row("south", 5),), 9))
     assert state.zone_orders.drained == {"south"}
-    state.adopt_told_orders((ZoneOrder("north", 4, True),), "peer")
+    state.adopt_announced_zone_orders((ZoneOrder("north", 4, True),), "peer")
     assert state.zone_orders.drained == {"south"}
 
 
