--- a/turnward/gateway/tests/test_crashing_requests.py
+++ b/turnward/gateway/tests/test_crashing_requests.py
@@ -32,7 +32,7 @@
 FATAL = b"what no engine bears"
 
 
-def test_request_that_ends_engines_is_held_back_by_all_routers():
+def test_request_that_crashes_engines_is_quarantined_by_all_routers():
     play = CrashPlay(gateways=4, endpoints=6, crashing=(FATAL,))
     for turn in range(40):
         play.send(FATAL, turn)
@@ -53,7 +53,7 @@
     play.harness.network.advance(KNOWN_S)
 
 
-def test_held_back_request_is_refused_at_once_as_not_run():
+def test_quarantined_request_is_refused_at_once_as_not_run():
     play = CrashPlay(gateways=3, endpoints=4, crashing=(FATAL,))
     hold_back(play)
     for gateway in range(3):
@@ -65,7 +65,7 @@
     assert len(play.crashes) == 3
 
 
-def test_lines_name_the_content_and_where_it_was_lost():
+def test_log_lines_name_the_content_and_the_crashed_endpoints():
     play = CrashPlay(gateways=3, endpoints=4, crashing=(FATAL,))
     hold_back(play)
     ended = {crash.endpoint_id for crash in play.crashes}
@@ -77,7 +77,7 @@
     assert play.harness.logs[0].of("request.ended")[-1]["content"] == line["content"]
 
 
-def test_router_that_starts_later_is_told_what_is_held_back():
+def test_router_that_starts_later_receives_the_quarantine():
     play = CrashPlay(gateways=3, endpoints=4, crashing=(FATAL,))
     hold_back(play)
     play.harness.network.advance(30.0)
@@ -87,7 +87,7 @@
     assert len(play.crashes) == 3
 
 
-def test_requests_beside_it_are_served_and_never_held_back():
+def test_concurrent_requests_are_never_quarantined():
     play = CrashPlay(gateways=4, endpoints=6, crashing=(FATAL,))
     beside = []
     for turn in range(60):
@@ -101,7 +101,7 @@
     assert not any(b"ends_endpoints" in caller.received for caller in beside)
 
 
-def test_request_whose_callers_leave_before_the_engine_ends_is_held_back():
+def test_request_whose_callers_disconnect_before_the_crash_is_quarantined():
     play = CrashPlay(gateways=4, endpoints=6, crashing=(FATAL,))
     for turn in range(40):
         for other in range(6):
@@ -117,14 +117,14 @@
 
 
 @pytest.mark.parametrize("repeat", ["once", "any", "stream"])
-def test_kinds_of_requests_are_held_back_alike(repeat):
+def test_quarantine_applies_to_every_retry_setting(repeat):
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,), repeat=repeat)
     hold_back(play)
     assert play.ask(FATAL).status == 503
     assert play.sends_after(FATAL, play.third_crash_s(FATAL) + KNOWN_S) == 0
 
 
-def test_body_of_a_megabyte_is_known_again_with_a_length_and_in_chunks():
+def test_large_body_is_recognized_with_content_length_and_chunked():
     body = b"x" * 1_000_000
     play = CrashPlay(gateways=2, endpoints=5, crashing=(body,))
     hold_back(play, body)
@@ -139,7 +139,7 @@
     assert len(play.crashes) == 3
 
 
-def test_several_such_requests_are_held_back_each():
+def test_several_crashing_requests_are_each_quarantined():
     bodies = (b"one", b"two", b"three")
     play = CrashPlay(gateways=4, endpoints=8, crashing=bodies)
     for turn in range(60):
@@ -150,7 +150,7 @@
         assert play.ask(body).status == 503
 
 
-def test_other_body_path_and_workspace_are_other_contents():
+def test_content_is_identified_by_body_path_and_workspace():
     workspaces = (Workspace(name="acme", keys=("key-one",)), Workspace(name="b", keys=("key-b",)))
     play = CrashPlay(gateways=2, endpoints=4, crashing=(FATAL,), workspaces=workspaces)
     hold_back(play)
@@ -161,7 +161,7 @@
     assert play.harness.ask(method=b"POST", body=FATAL, key=b"key-b").status == 200
 
 
-def test_endpoints_that_end_for_another_reason_hold_nothing_back():
+def test_endpoints_restarted_by_a_release_quarantine_nothing():
     """A release that ends one endpoint after the other while callers ask again."""
     play = CrashPlay(gateways=3, endpoints=5, crashing=())
     callers = []
@@ -174,7 +174,7 @@
     assert not any(log.of("content.held") for log in play.harness.logs)
 
 
-def test_connections_that_are_reset_everywhere_hold_nothing_back():
+def test_simultaneous_connection_resets_quarantine_nothing():
     """A lookup that many ask for is lost at all endpoints at the same moment."""
     play = CrashPlay(gateways=3, endpoints=6, crashing=())
     for _ in range(4):
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("size", [7, 24])
-def test_word_of_it_is_everywhere_in_a_second(size):
+def test_quarantine_reaches_all_routers_within_a_second(size):
     play = CrashPlay(gateways=size, endpoints=6, crashing=(FATAL,))
     play.harness.network.advance(4.0)
     for turn in range(3):
@@ -225,7 +225,7 @@
     assert harness.network.advance_until(lambda: all(gateway.ready for gateway in harness.gateways))
 
 
-def test_what_is_held_back_outlasts_the_death_of_all_routers():
+def test_quarantine_survives_a_crash_of_all_routers():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
     hold_back(play)
     for _ in range(2):
@@ -236,7 +236,7 @@
     assert len(play.crashes) == 3
 
 
-def test_what_is_held_back_is_written_once_the_store_is_back():
+def test_quarantine_is_stored_when_the_store_is_reachable_again():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
     for client in play.harness.clients:
         client.faults.unavailable = True
@@ -249,7 +249,7 @@
     assert play.ask(FATAL).status == 503
 
 
-def test_what_is_held_back_is_written_anew_when_the_store_has_lost_it():
+def test_quarantine_is_stored_again_after_a_rollback():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
     copy = play.harness.rows.copy()
     hold_back(play)
@@ -261,7 +261,7 @@
     assert play.ask(FATAL).status == 503
 
 
-def test_row_goes_when_the_content_is_answered_and_when_it_is_old():
+def test_row_is_removed_when_the_content_is_answered():
     play = CrashPlay(gateways=2, endpoints=6, crashing=(FATAL,))
     hold_back(play)
     assert len(play.harness.rows.table("quarantine", "")) == 1
@@ -271,7 +271,7 @@
     assert not play.harness.rows.table("quarantine", "")
 
 
-def test_unreadable_row_loses_only_itself():
+def test_unreadable_rows_do_not_affect_others():
     play = CrashPlay(gateways=2, endpoints=6, crashing=(FATAL,))
     hold_back(play)
     play.harness.rows.put("quarantine", "bad", b"\xff\x00 nothing")
@@ -283,7 +283,7 @@
     assert {line["key"] for line in unreadable} == {"bad", "worse"}
 
 
-def test_network_that_resets_everything_for_a_while_holds_nothing_back_for_long():
+def test_quarantine_after_seconds_of_connection_resets_is_short():
     """All sends of the only content there is are lost for three seconds, at endpoints that live."""
     play = CrashPlay(gateways=3, endpoints=6, crashing=())
     for _ in range(60):
@@ -298,7 +298,7 @@
     assert all(play.ask(b"asked by all", number).status == 200 for number in range(3))
 
 
-def test_endpoints_that_ended_are_not_taken_for_living_while_the_store_is_away():
+def test_crashed_endpoints_do_not_count_as_surviving_during_a_store_outage():
     play = CrashPlay(gateways=3, endpoints=6, crashing=(FATAL,))
     hold_back(play)
     for client in play.harness.clients:
@@ -342,7 +342,7 @@
 
 @pytest.mark.parametrize("size", [7, 24])
 @pytest.mark.parametrize("seed", range(4))
-def test_random_troubles_of_routers_let_few_sends_through(size, seed):
+def test_few_crashing_requests_pass_during_random_router_faults(size, seed):
     """Frozen and woken, cut off from each other, restarted, without the store, one after another.
 
     In a cut each side bears three ends; a router that starts or wakes may send before it hears.
--- a/turnward/gateway/tests/test_harmless_requests.py
+++ b/turnward/gateway/tests/test_harmless_requests.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_popular_request_beside_one_that_ends_engines_is_served_on(seed):
+def test_popular_request_run_beside_a_crashing_one_is_still_served(seed):
     newsroom = Newsroom(seed)
     newsroom.ask_and_end_engines(times=3)
     assert newsroom.longest_refused_s() <= INNOCENT_S
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("gateways", [3, 7])
-def test_popular_request_that_was_never_answered_is_cleared_by_a_trial(seed, gateways):
+def test_unanswered_popular_request_is_cleared_by_a_trial(seed, gateways):
     """It is asked for by all for the first time while engines end beside it."""
     newsroom = Newsroom(seed, gateways)
     newsroom.end_engines()
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_several_that_end_engines_are_held_back_and_what_ran_beside_them_is_not(seed):
+def test_several_crashing_requests_are_quarantined_and_a_popular_one_is_not(seed):
     newsroom = Newsroom(seed, gateways=4, endpoints=6, fatal=(b"one", b"two", b"three"))
     newsroom.ask_and_end_engines(times=3)
     assert newsroom.longest_refused_s() <= INNOCENT_S
@@ -139,7 +139,7 @@
     assert newsroom.play.ask(POPULAR).status == 200
 
 
-def test_request_that_turns_deadly_is_held_back_after_a_trial():
+def test_request_that_begins_to_crash_engines_is_quarantined_after_a_trial():
     """Answered by all engines at first; from a release on it ends each that runs it."""
     newsroom = Newsroom(seed=1, gateways=4, endpoints=6, fatal=())
     newsroom.ask_for(3.0)
@@ -151,7 +151,7 @@
     assert play.ask(POPULAR).status == 503
 
 
-def test_lines_tell_a_trial_from_a_proof():
+def test_log_lines_distinguish_trial_and_confirmation():
     newsroom = Newsroom(seed=1, gateways=2, endpoints=6, fatal=())
     newsroom.ask_for(3.0)
     play = newsroom.play
--- a/turnward/quarantine/tests/test_quarantine.py
+++ b/turnward/quarantine/tests/test_quarantine.py
@@ -57,7 +57,7 @@
     return Clock()
 
 
-def test_content_is_held_back_after_three_endpoints_and_not_before(clock):
+def test_content_is_quarantined_after_aborts_at_three_endpoints(clock):
     router = Router(clock)
     router.lose_at("a", "b")
     assert not router.quarantine.is_quarantined("c")
@@ -66,7 +66,7 @@
     assert router.changes == [("c", True)]
 
 
-def test_same_endpoint_counts_once_and_its_next_start_anew(clock):
+def test_incarnation_counts_once_and_restarted_endpoint_counts_again(clock):
     router = Router(clock)
     router.lose_at("a@1", "a@1", "b@1", "a@1")
     assert not router.quarantine.is_quarantined("c")
@@ -74,7 +74,7 @@
     assert router.quarantine.is_quarantined("c")
 
 
-def test_losses_at_one_moment_count_as_one_cause(clock):
+def test_simultaneous_aborts_do_not_quarantine(clock):
     router = Router(clock)
     for endpoint in "abde":
         router.quarantine.record_abort("c", endpoint, clock.now_s - 0.5)
@@ -83,7 +83,7 @@
     assert router.quarantine.is_quarantined("c")
 
 
-def test_an_answer_clears_a_content(clock):
+def test_response_clears_a_content(clock):
     router = Router(clock)
     router.lose_at("a", "b")
     router.quarantine.record_response("c")
@@ -91,7 +91,7 @@
     assert not router.quarantine.is_quarantined("c")
 
 
-def test_an_answer_of_a_run_under_way_frees_a_content_that_is_held_back(clock):
+def test_response_of_a_run_in_flight_ends_the_quarantine(clock):
     router = Router(clock)
     router.lose_at("a", "b", "d")
     router.quarantine.record_response("c")
@@ -99,7 +99,7 @@
     assert router.changes == [("c", True), ("c", False)]
 
 
-def test_hold_ends_and_one_more_loss_holds_again(clock):
+def test_quarantine_expires_and_one_more_abort_renews_it(clock):
     router = Router(clock)
     router.lose_at("a", "b", "d")
     assert router.quarantine.quarantine_left_s("c") == pytest.approx(RULE.hold_s)
@@ -117,7 +117,7 @@
     assert not router.quarantine.is_quarantined("c")
 
 
-def test_losses_at_three_routers_add_up(clock):
+def test_aborts_at_three_routers_add_up(clock):
     routers = [Router(clock) for _ in range(3)]
     for router, endpoint in zip(routers, "abd", strict=True):
         router.lose(endpoint)
@@ -126,7 +126,7 @@
     assert all(router.quarantine.is_quarantined("c") for router in routers)
 
 
-def test_word_is_passed_on_and_holds_at_a_router_that_starts_later(clock):
+def test_update_is_forwarded_to_a_router_that_starts_later(clock):
     one, two, three = (Router(clock) for _ in range(3))
     one.lose_at("a", "b", "d", "e", "f", "g", "h", "i", "j", "k")
     one.tell(two)
@@ -137,7 +137,7 @@
     assert three.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.01)
 
 
-def test_an_answer_somewhere_clears_everywhere(clock):
+def test_response_at_one_router_clears_at_all(clock):
     routers = [Router(clock) for _ in range(3)]
     routers[0].lose_at("a", "b", "d")
     routers[0].tell(*routers[1:])
@@ -148,7 +148,7 @@
     assert not any(router.quarantine.is_quarantined("c") for router in routers)
 
 
-def test_word_is_silent_where_nothing_is_known_and_stays_small(clock):
+def test_update_is_empty_without_suspects_and_bounded_in_size(clock):
     router = Router(clock)
     assert router.quarantine.make_update() is EMPTY_QUARANTINE_UPDATE
     for number in range(200):
@@ -158,7 +158,7 @@
     assert len(msgspec.msgpack.encode(router.quarantine.make_update())) < 4_096
 
 
-def test_what_is_remembered_is_bounded_and_the_held_back_stay(clock):
+def test_number_of_suspects_is_bounded_and_quarantined_ones_are_kept(clock):
     router = Router(clock, QuarantineRule(contents=50))
     router.lose_at("a", "b", "d")
     for number in range(500):
@@ -167,7 +167,7 @@
     assert len(router.quarantine._suspects) == 50
 
 
-def test_word_goes_round_for_ever_without_changing_anything(clock):
+def test_repeated_updates_neither_extend_nor_renew_a_quarantine(clock):
     """What is told again, later each time by its way, neither lengthens a hold nor revives one."""
     routers = [Router(clock) for _ in range(3)]
     routers[0].lose_at("a", "b", "d")
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_random_losses_words_and_answers_agree_in_the_end(seed, clock):
+def test_routers_converge_after_random_aborts_updates_and_responses(seed, clock):
     """Whatever was lost, served and told in whatever order: once all is told, all agree."""
     draw = random.Random(seed)
     routers = [Router(clock) for _ in range(4)]
@@ -210,7 +210,7 @@
     router.quarantine.record_live_incarnations(set(endpoints), router.clock.now_s - contact_s)
 
 
-def test_losses_at_endpoints_that_live_on_hold_nothing_back(clock):
+def test_aborts_at_surviving_endpoints_are_dropped(clock):
     router = Router(clock)
     router.lose_at("a", "b", "d")
     clock.now_s += RULE.outlived_s - 1
@@ -222,7 +222,7 @@
     assert router.changes == [("c", True), ("c", False)]
 
 
-def test_losses_at_endpoints_that_ended_stay(clock):
+def test_aborts_at_crashed_endpoints_are_kept(clock):
     router = Router(clock)
     router.lose_at("a@1", "b@1", "d@1", "e@1")
     for _ in range(20):
@@ -232,7 +232,7 @@
     assert router.quarantine.is_quarantined("c")
 
 
-def test_entries_tell_nothing_that_were_read_before_an_outage_of_the_store(clock):
+def test_entries_read_before_a_store_outage_do_not_show_survival(clock):
     router = Router(clock)
     router.lose_at("a", "b", "d")
     clock.now_s += 60.0
@@ -240,7 +240,7 @@
     assert router.quarantine.is_quarantined("c")
 
 
-def test_what_was_refuted_is_not_believed_again_and_a_later_end_is(clock):
+def test_dropped_aborts_are_not_merged_again_but_later_ones_are(clock):
     one, two = Router(clock), Router(clock)
     one.lose_at("a", "b", "d")
     one.tell(two)
@@ -268,7 +268,7 @@
     return [router.quarantine.verdict(content) for content in contents]
 
 
-def test_answered_content_is_innocent_where_another_explains_its_losses(clock):
+def test_answered_content_is_allowed_where_another_explains_its_aborts(clock):
     router = Router(clock)
     router.quarantine.record_response("popular")
     clock.now_s += 100.0
@@ -276,7 +276,7 @@
     assert verdicts(router, "popular", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
-def test_routers_are_told_that_a_content_was_answered_before(clock):
+def test_earlier_responses_are_announced_to_other_routers(clock):
     one, two = Router(clock), Router(clock)
     one.quarantine.record_response("popular")
     clock.now_s += 100.0
@@ -287,7 +287,7 @@
     assert verdicts(two, "popular", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
-def test_contents_that_ran_beside_it_once_or_answered_ones_explain_nothing(clock):
+def test_answered_contents_and_single_common_aborts_explain_nothing(clock):
     router = Router(clock)
     for content in ("answered once", "popular"):
         router.quarantine.record_response(content)
@@ -296,7 +296,7 @@
     assert verdicts(router, "answered once", "unique 0") == [Verdict.ON_TRIAL, Verdict.ALLOWED]
 
 
-def test_two_that_were_never_answered_are_both_on_trial_and_one_loss_decides(clock):
+def test_abort_during_a_trial_decides_between_two_unanswered_contents(clock):
     router = Router(clock)
     lose_together(router, "new", "fatal")
     assert verdicts(router, "new", "fatal") == [Verdict.ON_TRIAL, Verdict.ON_TRIAL]
@@ -307,7 +307,7 @@
     assert verdicts(router, "new", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
-def test_two_that_were_never_answered_are_both_on_trial_and_one_answer_decides(clock):
+def test_response_to_a_trial_decides_between_two_unanswered_contents(clock):
     router = Router(clock)
     lose_together(router, "new", "fatal")
     clock.now_s += 1.0
@@ -316,7 +316,7 @@
     assert verdicts(router, "new", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
-def test_one_router_tries_and_the_next_in_rank_after_a_while(clock):
+def test_routers_begin_a_trial_in_order_of_rank(clock):
     quarantines = [Quarantine(clock, rank_of=lambda endpoint, rank=rank: rank) for rank in (0, 1)]
     for quarantine in quarantines:
         quarantine.record_response("c")
@@ -335,7 +335,7 @@
     assert second.begin_trial("c")
 
 
-def test_trial_that_shows_nothing_is_begun_again(clock):
+def test_inconclusive_trial_is_repeated(clock):
     router = Router(clock)
     router.quarantine.record_response("c")
     router.lose_at("a", "b", "d")
@@ -349,7 +349,7 @@
     assert router.quarantine.begin_trial("c")
 
 
-def test_answered_content_that_turns_deadly_is_proved_by_its_trial(clock):
+def test_answered_content_that_begins_to_crash_endpoints_is_confirmed_by_a_trial(clock):
     """As after a release of the engines that can't bear it."""
     router = Router(clock)
     router.quarantine.record_response("c")
@@ -363,14 +363,14 @@
     assert router.quarantine.quarantine_left_s("c") > 590.0
 
 
-def test_error_that_comes_whole_makes_no_content_innocent(clock):
+def test_error_response_does_not_count_as_an_earlier_success(clock):
     router = Router(clock)
     router.quarantine.record_response("c", success=False)
     router.lose_at("a", "b", "d")
     assert verdicts(router, "c") == [Verdict.CONFIRMED]
 
 
-def test_contents_remembered_as_answered_are_bounded(clock):
+def test_number_of_answered_contents_is_bounded(clock):
     router = Router(clock)
     for number in range(5_000):
         router.quarantine.record_response(f"c{number}")
--- a/turnward/rows/tests/test_eras.py
+++ b/turnward/rows/tests/test_eras.py
@@ -19,19 +19,19 @@
 
 
 @given(ERAS, NUMBERS, ERAS, NUMBERS)
-def test_versions_sort_by_era_and_then_by_number(era, number, other_era, other_number):
+def test_versions_are_ordered_by_era_then_number(era, number, other_era, other_number):
     one, other = RowVersion.of(era, number), RowVersion.of(other_era, other_number)
     assert (one < other) == ((era, number) < (other_era, other_number))
     assert (one == other) == ((era, number) == (other_era, other_number))
     assert (one.era, one.number) == (era, number)
 
 
-def test_version_is_in_no_message_as_one_number():
+def test_packed_version_cannot_be_encoded():
     with pytest.raises(TypeError):
         msgspec.json.encode(RowVersion.of(1, 2))
 
 
-def test_number_of_another_era_is_neither_a_condition_nor_the_start_of_a_feed():
+def test_version_of_another_era_is_rejected_in_conditions_and_feeds():
     eras = StoreEras()
     eras.observe_era(3)
     known = eras.version(40)
@@ -44,7 +44,7 @@
     assert eras.expected_number(0) == 0
 
 
-def test_answer_of_an_earlier_era_is_none():
+def test_response_of_an_earlier_era_is_rejected():
     eras = StoreEras()
     eras.observe_era(4)
     with pytest.raises(RowsUnavailableError):
@@ -52,7 +52,7 @@
     assert eras.current == 4
 
 
-def test_first_era_that_is_learnt_is_no_return():
+def test_first_observed_era_is_not_a_rollback():
     eras = StoreEras()
     told = []
     eras.listen(told.append)
