--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -156,7 +156,7 @@
         suspected.
         """
         for run in record.abandoned.take(self.reactor.seconds()):
-            self.quarantine.note_lost(run.content, record.incarnation, run.sent_s)
+            self.quarantine.record_abort(run.content, record.incarnation, run.sent_s)
 
     def retry_budget(self, pool: str) -> RetryBudgetShare:
         """Return this router's share of a pool's retry budget."""
@@ -243,7 +243,7 @@
         values = header_values(self._request.headers, b"authorization")
         scheme, _, key = values[0].partition(b" ") if len(values) == 1 else (b"", b"", b"")
         if scheme.lower() == self._forwarder.dialect.key_scheme.lower():
-            self._workspace = routes.workspace_of(key.strip().decode("latin-1"))
+            self._workspace = routes.workspace_for_key(key.strip().decode("latin-1"))
         if self._workspace is None:
             self._refuse_unknown(401, Reason.UNKNOWN_KEY)
             return False
@@ -290,7 +290,7 @@
         if accounts is None or workspace is None or workspace.prepaid_tokens is None or not tokens:
             self._receive_body()
             return
-        may_retry = self._route.may_repeat and self._route.attempts > 1
+        may_retry = self._route.allows_rerun and self._route.attempts > 1
         retry_tokens = self._prompt.output_tokens if may_retry else 0
         result = accounts.reserve(workspace.name, tokens, self.priority, retry_tokens)
         if isinstance(result, defer.Deferred):
@@ -490,7 +490,7 @@
             # The content may have crashed the endpoint. Other routers need to know, since it may be
             # sent again to any of them under another request id.
             forwarder = self._forwarder
-            forwarder.quarantine.note_lost(
+            forwarder.quarantine.record_abort(
                 self._content, attempt.record.incarnation, attempt.sent_s
             )
         self._may_have_run = True
@@ -519,7 +519,7 @@
 
     def retry_after_error(self, attempt: "EndpointAttempt", status: int) -> bool:
         """Retry a request that got an error; return False if a retry is not possible any more."""
-        self._forwarder.quarantine.note_served(self._content, success=False)
+        self._forwarder.quarantine.record_response(self._content, success=False)
         if not self._may_retry(is_retry=True, ran=True):
             return False
         self._may_have_run = True
@@ -552,7 +552,7 @@
             return NoRetryReason.REQUEST_ENDED
         if not self._replayable:
             return NoRetryReason.BODY_NOT_KEPT
-        if ran and not self._route.may_repeat:
+        if ran and not self._route.allows_rerun:
             return NoRetryReason.RUNS_ONCE
         if self._request.head_sent and not self.resumable:
             return NoRetryReason.RESPONSE_STARTED
@@ -562,7 +562,7 @@
             return NoRetryReason.ENDPOINTS_TRIED
         if is_retry and self._attempts >= self._route.attempts:
             return NoRetryReason.ATTEMPTS_USED
-        if self._forwarder.quarantine.holds(self._content):
+        if self._forwarder.quarantine.is_quarantined(self._content):
             return NoRetryReason.QUARANTINED
         forwarder = self._forwarder
         check_others = forwarder.rules.looks_for_others
@@ -658,7 +658,7 @@
         """Finish a complete response."""
         self._attempt = None
         attempt.ended = True
-        self._forwarder.quarantine.note_served(self._content, success=status < 400)
+        self._forwarder.quarantine.record_response(self._content, success=status < 400)
         self._request.finish()
         used = None
         if status < 300 and not self._may_have_run:
@@ -699,7 +699,7 @@
     def _refuse_if_quarantined(self) -> bool:
         """Refuse a request whose content crashes, or may crash, endpoints; tell whether it is."""
         quarantine = self._forwarder.quarantine
-        if not quarantine.holds(self._content):
+        if not quarantine.is_quarantined(self._content):
             return False
         self._on_trial = quarantine.begin_trial(self._content)
         if self._on_trial:
@@ -710,9 +710,9 @@
                 pool=self._pool,
             )
             return False
-        confirmed = quarantine.verdict(self._content) is Verdict.SURE
+        confirmed = quarantine.verdict(self._content) is Verdict.CONFIRMED
         reason = Reason.CRASHES_ENDPOINTS if confirmed else Reason.MAY_CRASH_ENDPOINTS
-        self._forwarder.metrics.requests_held.labels(self._pool, reason).inc()
+        self._forwarder.metrics.requests_quarantined.labels(self._pool, reason).inc()
         self._refuse(503, reason)
         return True
 
@@ -727,7 +727,7 @@
         """Return the seconds after which the caller should retry."""
         forwarder = self._forwarder
         if reason in (Reason.CRASHES_ENDPOINTS, Reason.MAY_CRASH_ENDPOINTS):
-            return round(forwarder.quarantine.held_for_s(self._content), 1)
+            return round(forwarder.quarantine.quarantine_left_s(self._content), 1)
         return forwarder.retry_after_estimator.retry_after_s(
             reason, self._pool, self._queue_excess_s
         )
@@ -898,4 +898,4 @@
     @property
     def must_run_once(self) -> bool:
         """Whether the request must not run twice."""
-        return not self._route.may_repeat
+        return not self._route.allows_rerun
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from turnward.gateway.configuration import Configuration, EndpointEntry, RouteTable
-from turnward.gateway.refused_rows import RefusedRows
 from turnward.gateway.removed_endpoints import RemovedEndpoints
+from turnward.gateway.unreadable_rows import UnreadableRows
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 from turnward.rows import RowVersion
 
@@ -50,7 +50,7 @@
         Entries by endpoint id.
     endpoints_version : RowVersion
         The store's version that ``endpoints`` is as of; 0 until known.
-    refused_rows : RefusedRows
+    unreadable_rows : UnreadableRows
         Rows that could not be read.
     row_version : RowVersion
         The store's version of the row that the configuration came in; 0 until known.
@@ -65,7 +65,7 @@
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
         self._listeners: list[Callable[[str, str], None]] = []
-        self.refused_rows = RefusedRows()
+        self.unreadable_rows = UnreadableRows()
         self.routes: RouteTable | None = None
         self.row_version = RowVersion(0)
         self.endpoints: dict[str, EndpointEntry] = {}
@@ -116,7 +116,7 @@
         if self.zone_orders.merge(orders):
             self._tell("zone_orders", source)
 
-    def adopt_standing_orders(
+    def adopt_zone_order_table(
         self, orders: Iterable[ZoneOrder], version: int, source: str, provisional: bool = False
     ) -> None:
         """Take in all orders that stood at a version of the store.
@@ -130,14 +130,16 @@
         if self.zone_orders.merge_table(orders, version):
             self._tell("zone_orders", source)
 
-    def adopt_told_orders(self, orders: tuple[ZoneOrder, ...] | None, source: str) -> None:
+    def adopt_announced_zone_orders(
+        self, orders: tuple[ZoneOrder, ...] | None, source: str
+    ) -> None:
         """Take in all orders that another router knows; None when it knows of none yet."""
         if orders is None:
             return
         self.zone_orders_known = True
         self.adopt_zone_orders(orders, source)
 
-    def told_orders(self) -> tuple[ZoneOrder, ...] | None:
+    def announced_zone_orders(self) -> tuple[ZoneOrder, ...] | None:
         """Return all orders as others are told of them; None while they are not known."""
         return self.zone_orders.all() if self.zone_orders_known else None
 
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""In a large fleet a few routers hold a workspace's tokens, and all others ask them."""
+"""In a large fleet a few routers hold a workspace's tokens, and all others borrow from them."""
 
 import msgspec
 import pytest
 from twisted.internet import task
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.accounts import decode_account
 from turnward.gateway.holders import HOLDERS_PER_WORKSPACE, RendezvousHolders
 from turnward.gateway.loans import RETURNS_PATH, LoanAsk, LoanReturn
@@ -22,22 +22,22 @@
 )
 from turnward.rows import RowKey
 
-KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
+ROW_KEY = RowKey(TABLE, "acme", ROW_NAME)
 
 
 def fleet_of(size, limit=8):
-    """Return the rankings of each router of a fleet."""
+    """Return the holders as seen by each router of a fleet, by the router's address."""
     clock = task.Clock()
     addresses = [f"10.0.{number // 200}.{number % 200}:80" for number in range(size)]
-    found = {}
+    fleet = {}
     for own in addresses:
         book = PeerBook(own, clock.seconds)
         for number, address in enumerate(addresses):
             book.add_member(address, f"z{number % 3}")
         book.members_read = True
-        found[own] = RendezvousHolders(book, clock.seconds, limit)
+        fleet[own] = RendezvousHolders(book, clock.seconds, limit)
     clock.advance(1.0)
-    return found
+    return fleet
 
 
 @pytest.mark.parametrize("limit", [1, HOLDERS_PER_WORKSPACE, 8])
@@ -65,8 +65,8 @@
 
 def test_unresponsive_holder_is_skipped_for_a_while():
     ranking = next(iter(fleet_of(30).values()))
-    silent, *rest = ranking.other_holders("a")
-    ranking.mark_unresponsive(silent)
+    unresponsive, *rest = ranking.other_holders("a")
+    ranking.mark_unresponsive(unresponsive)
     assert set(ranking.other_holders("a")) == set(rest)
 
 
@@ -85,12 +85,12 @@
 
 
 def test_tokens_do_not_move_while_members_are_added():
-    harness = large_rig()
-    holders = [number for number, holder in enumerate(holds(harness)) if holder]
+    harness = large_harness()
+    holders = [number for number, is_holder in enumerate(holds(harness)) if is_holder]
     held = [harness.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
     assert min(held) > 0
     for number in range(12):
-        # One more each 0.2 s: what is known of the members is never settled.
+        # With a new member every 0.2 s the membership is never settled.
         for gateway in harness.gateways:
             gateway.book.add_member(f"10.8.0.{number}:{PEERS_PORT}", "z")
         harness.network.advance(0.2)
@@ -99,12 +99,12 @@
     assert (moved, committed) == (0, 0)
 
 
-# The same through whole gateways.
+# Tests with whole gateways.
 
 
-def large_rig(gateways=12, prepaid=400_000):
+def large_harness(gateways=12, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
-    fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
+    fields = {"repeat": RetryPolicy.STREAM, "time_limit_s": 9.0, "priority": 0}
     harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
     harness.endpoint(stream_events(4))
     harness.ready(gateways=gateways)
@@ -116,37 +116,37 @@
     return [gateway.holders.holds("acme") for gateway in harness.gateways]
 
 
-def ask(harness, gateway, tokens=8_000):
+def send_prompt(harness, gateway, tokens=8_000):
     return harness.ask(gateway, method=b"POST", body=b"", headers=harness.prompt(tokens, 20))
 
 
 def test_only_holders_have_grants_and_write_reports():
-    harness = large_rig()
+    harness = large_harness()
     assert sum(holds(harness)) == HOLDERS_PER_WORKSPACE
-    names = {
+    incarnations = {
         gateway.incarnation
-        for gateway, holder in zip(harness.gateways, holds(harness), strict=True)
-        if holder
+        for gateway, is_holder in zip(harness.gateways, holds(harness), strict=True)
+        if is_holder
     }
-    assert set(decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens) == names
+    assert set(decode_account(harness.rows.get(ROW_KEY)).granted_tokens) == incarnations
     written = {
         row.key.key
         for gateway in harness.gateways
         for row in harness.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
     }
-    assert written == names
+    assert written == incarnations
 
 
 def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
-    harness = large_rig()
-    other = holds(harness).index(False)
-    assert [ask(harness, other).status for _ in range(5)] == [200] * 5
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    assert [send_prompt(harness, borrower).status for _ in range(5)] == [200] * 5
     harness.network.advance(2.0)
-    accounts = harness.gateways[other].accounts
+    accounts = harness.gateways[borrower].accounts
     assert accounts.ledger.free_tokens("acme") == 0
     assert (
-        harness.gateways[other].incarnation
-        not in decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens
+        harness.gateways[borrower].incarnation
+        not in decode_account(harness.rows.get(ROW_KEY)).granted_tokens
     )
     used = 5 * (8_000 + 4 * 5)
     own = [gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways]
@@ -160,84 +160,84 @@
 
 
 def test_concurrent_requests_do_not_use_the_same_tokens():
-    harness = large_rig()
-    other = holds(harness).index(False)
-    first = harness.ask(other, method=b"POST", body=b"", headers=harness.prompt(1_000, 400))
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    first = harness.ask(borrower, method=b"POST", body=b"", headers=harness.prompt(1_000, 400))
     assert first.status == 200
-    # What the first one left over is free here for a moment.
+    # The tokens that the first request left unused are free here for a moment.
     callers = [
-        harness.send(other, method=b"POST", body=b"", headers=harness.prompt(tokens, 400))
+        harness.send(borrower, method=b"POST", body=b"", headers=harness.prompt(tokens, 400))
         for tokens in (2_000, 3_000, 4_000, 5_000)
     ]
     assert harness.network.advance_until(lambda: all(map(answered, callers)))
     assert [caller.status for caller in callers] == [200] * 4
-    assert not harness.logs[other].of("prepaid.taken")
+    assert not harness.logs[borrower].of("prepaid.taken")
 
 
 def test_holders_are_asked_round_robin():
-    harness = large_rig()
-    other = holds(harness).index(False)
+    harness = large_harness()
+    borrower = holds(harness).index(False)
     for _ in range(10):
-        ask(harness, other, tokens=500)
+        send_prompt(harness, borrower, tokens=500)
     lent = [
         len(log.of("prepaid.lent"))
-        for log, holder in zip(harness.logs, holds(harness), strict=True)
-        if holder
+        for log, is_holder in zip(harness.logs, holds(harness), strict=True)
+        if is_holder
     ]
     assert min(lent) >= 5
 
 
 def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
-    harness = large_rig()
-    other = holds(harness).index(False)
-    for number, holder in enumerate(holds(harness)):
-        if holder:
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    for number, is_holder in enumerate(holds(harness)):
+        if is_holder:
             harness.machines[number].kill()
-    assert ask(harness, other).status == 200
-    assert decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens[
-        harness.gateways[other].incarnation
+    assert send_prompt(harness, borrower).status == 200
+    assert decode_account(harness.rows.get(ROW_KEY)).granted_tokens[
+        harness.gateways[borrower].incarnation
     ]
 
 
 def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
-    harness = large_rig()
-    none = [
+    harness = large_harness()
+    non_holders = [
         number
         for number, gateway in enumerate(harness.gateways)
         if not gateway.holders.holds("acme")
     ]
-    for number, holder in enumerate(holds(harness)):
-        if holder:
+    for number, is_holder in enumerate(holds(harness)):
+        if is_holder:
             harness.machines[number].kill()
     for client in harness.clients:
-        client.faults.away = True
+        client.faults.unavailable = True
     harness.network.advance(1.0)
-    assert ask(harness, none[0]).status == 503
+    assert send_prompt(harness, non_holders[0]).status == 503
     for client in harness.clients:
-        client.faults.away = False
+        client.faults.unavailable = False
     harness.network.advance(6.0)
-    assert ask(harness, none[0]).status == 200
+    assert send_prompt(harness, non_holders[0]).status == 200
 
 
 def test_routers_cut_off_from_the_store_borrow_from_holders():
-    harness = large_rig()
+    harness = large_harness()
     for client in harness.clients:
-        client.faults.away = True
+        client.faults.unavailable = True
     harness.network.advance(6.0)
-    # Within what the holders' last reports let them spend at once.
-    served = [ask(harness, number, tokens=1_500).status for number in range(12)]
+    # Few enough tokens for the spend bounds in the holders' last reports.
+    served = [send_prompt(harness, number, tokens=1_500).status for number in range(12)]
     assert served == [200] * 12
 
 
 def test_exhausted_workspace_is_refused_at_every_router():
-    harness = large_rig(prepaid=1_000)
-    assert {ask(harness, number).status for number in range(12)} == {402}
+    harness = large_harness(prepaid=1_000)
+    assert {send_prompt(harness, number).status for number in range(12)} == {402}
 
 
 def test_request_cancelled_while_borrowing_costs_no_tokens():
-    harness = large_rig()
-    other = holds(harness).index(False)
-    caller = harness.send(other, method=b"POST", body=b"", headers=harness.prompt(8_000, 20))
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    caller = harness.send(borrower, method=b"POST", body=b"", headers=harness.prompt(8_000, 20))
     caller.transport.abortConnection()
     harness.network.advance(3.0)
     own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways)
@@ -245,11 +245,11 @@
 
 
 def test_cancelled_loan_is_not_counted():
-    harness = large_rig()
+    harness = large_harness()
     holder = holds(harness).index(True)
     accounts = harness.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
-    # More than is held, so that it has to wait for the store.
+    # More tokens than are held, so that the loan has to wait for the store.
     lending = accounts.lend_for_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
     lending.addErrback(lambda failure: None)
     lending.cancel()
@@ -259,7 +259,7 @@
 
 @pytest.mark.parametrize("tokens", [0, -5])
 def test_return_of_a_non_positive_amount_is_rejected(tokens):
-    harness = large_rig()
+    harness = large_harness()
     before = harness.gateways[0].accounts.ledger.free_tokens("acme")
     body = msgspec.msgpack.encode(["acme", tokens])
     caller = harness.connect(port=PEERS_PORT)
@@ -271,7 +271,7 @@
 
 
 def test_returned_tokens_are_counted_once():
-    harness = large_rig()
+    harness = large_harness()
     accounts = harness.gateways[holds(harness).index(True)].accounts
     before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
     accounts.accept_return(LoanReturn("acme", 500))
@@ -280,7 +280,7 @@
 
 
 def test_successor_of_a_holder_returns_grants_it_does_not_need():
-    harness = large_rig()
+    harness = large_harness()
     number = holds(harness).index(True)
     gateway = harness.gateways[number]
     assert gateway.accounts.ledger.free_tokens("acme") > 0
@@ -290,5 +290,5 @@
     machine.restart()
     harness.run_gateway(machine, gateway.incarnation.partition("@")[0])
     harness.network.advance(2.0)
-    granted = decode_account(harness.rows.get(KEY_OF_ROW)).granted_tokens
+    granted = decode_account(harness.rows.get(ROW_KEY)).granted_tokens
     assert gateway.incarnation not in granted
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Kills of all gateways, a store away at the start, bounds on repeats, early answers."""
+"""Crashes of all gateways, store outages at the start, retry budgets and early responses."""
 
 import msgspec
 import pytest
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.tests.harness import (
     ENGINE_POOL,
     KEY,
@@ -18,7 +18,7 @@
 
 
 def restart(harness, index):
-    """Kill a gateway's process and start another on the same machine."""
+    """Kill a gateway's process and start another on its machine."""
     machine = harness.machines[index]
     machine.kill()
     machine.restart()
@@ -28,31 +28,31 @@
 def test_restarted_gateways_serve_again_and_keep_the_limit():
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     harness = Harness(
-        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0
+        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=RetryPolicy.STREAM, time_limit_s=9.0
     )
     endpoint = harness.endpoint(stream_events(4))
     harness.ready(gateways=2)
     harness.network.advance(1.0)
     served = 0
     for _ in range(4):
-        for turn in range(6):
+        for number in range(6):
             headers = harness.prompt(8_000, 20)
-            caller = harness.ask(gateway=-1 - turn % 2, method=b"POST", body=b"", headers=headers)
+            caller = harness.ask(gateway=-1 - number % 2, method=b"POST", body=b"", headers=headers)
             served += caller.status == 200
         restarted = [restart(harness, index) for index in (0, 1)]
         assert harness.network.advance_until(lambda: all(g.ready for g in restarted))  # noqa: B023
         harness.network.advance(1.0)
     assert served >= 18
-    # 8,000 tokens in and 4 events of 5 tokens out, for each run.
+    # Each request has a prompt of 8,000 tokens and 4 events of 5 tokens.
     assert len(endpoint.requests) * 8_020 <= 400_000
 
 
 @pytest.mark.parametrize("away_s", [0.5, 6.0, 20.0])
 def test_gateways_serve_again_after_an_outage_longer_than_a_lease(away_s):
-    """Successors failed on reports whose lease was over, and got no tokens at all."""
+    """Guards against successors that fail on expired reports and get no tokens."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     harness = Harness(
-        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=Repeat.STREAM, time_limit_s=9.0
+        pools=(ENGINE_POOL,), workspaces=(workspace,), repeat=RetryPolicy.STREAM, time_limit_s=9.0
     )
     harness.endpoint(stream_events(4))
     harness.ready(gateways=2)
@@ -69,8 +69,8 @@
     assert harness.network.advance_until(lambda: all(gateway.ready for gateway in started))
     harness.network.advance(1.0)
     served = 0
-    for turn in range(8):
-        caller = harness.ask(gateway=-1 - turn % 2, method=b"POST", body=b"", headers=headers)
+    for number in range(8):
+        caller = harness.ask(gateway=-1 - number % 2, method=b"POST", body=b"", headers=headers)
         served += caller.status == 200
     assert served == 8
     assert not [line for log in harness.logs for line in log.of("prepaid.fault")]
@@ -81,9 +81,9 @@
     harness.endpoint(answer_ok)
     harness.ready(gateways=1)
     harness.network.advance(1.0)
-    harness.rows.faults.away = True
-    late = harness.gateway()
-    assert harness.network.advance_until(lambda: late.ready, limit_s=3.0)
+    harness.rows.faults.unavailable = True
+    started = harness.gateway()
+    assert harness.network.advance_until(lambda: started.ready, limit_s=3.0)
     assert harness.ask(gateway=1).status == 200
 
 
@@ -91,37 +91,37 @@
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.rows.put("configuration", "all", _encoded(harness))
-    harness.rows.faults.away = True
+    harness.rows.faults.unavailable = True
     gateway = harness.gateway()
     harness.network.advance(5.0)
     assert not gateway.ready
-    harness.rows.faults.away = False
+    harness.rows.faults.unavailable = False
     assert harness.network.advance_until(lambda: gateway.ready, limit_s=2.0)
     assert harness.ask().status == 200
 
 
 def test_retries_stay_within_the_fleets_budget_when_every_endpoint_fails():
-    harness = Harness(repeat=Repeat.ANY, attempts=3)
+    harness = Harness(repeat=RetryPolicy.ANY, attempts=3)
     for _ in range(4):
         harness.endpoint(abort_connection)
     harness.ready(gateways=2)
     harness.network.advance(1.0)
-    asked = 0
-    for turn in range(150):
-        harness.ask(gateway=turn % 2)
-        asked += 1
-    arrivals = sum(len(endpoint.requests) for endpoint in harness.endpoints)
-    # GatewaySettings: ratio 0.2, slack 50, in windows of 10 s; the run is shorter than that.
+    requests = 0
+    for number in range(150):
+        harness.ask(gateway=number % 2)
+        requests += 1
+    attempts = sum(len(endpoint.requests) for endpoint in harness.endpoints)
+    # GatewaySettings: retry ratio 0.2, slack 50, in windows of 10 s; the run fits into one.
     assert harness.network.clock.seconds() < 10.0
-    assert arrivals - asked <= 0.2 * asked + 50
+    assert attempts - requests <= 0.2 * requests + 50
 
 
 def test_early_response_is_forwarded_and_the_remaining_body_is_discarded():
-    def answers_early(endpoint, request):
+    def respond_early(endpoint, request):
         request.answer(200, answer_head(request), b"early")
 
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
-    endpoint = harness.endpoint(answers_early)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=20.0)
+    endpoint = harness.endpoint(respond_early)
     endpoint.answers_early = True
     harness.ready()
     caller = harness.connect()
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("declared", [True, False])
 def test_large_body_received_before_the_endpoint_is_reached_is_framed_once(declared):
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=20.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=20.0)
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
     body = b"GET /a/smuggled HTTP/1.1\r\n\r\n" + b"x" * 299_970
@@ -156,13 +156,13 @@
 
 
 def test_configuration_changes_under_load_interrupt_no_request():
-    harness = Harness(repeat=Repeat.ONCE, time_limit_s=9.0)
+    harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=9.0)
     harness.endpoint(lambda e, r: e.machine.callLater(0.5, answer_ok, e, r))
     harness.ready()
     callers = []
     for version in range(20):
         callers.append(harness.send(method=b"POST", body=b""))
-        harness.configure(routes=(harness.route(repeat=Repeat.ONCE, priority=version % 9),))
+        harness.configure(routes=(harness.route(repeat=RetryPolicy.ONCE, priority=version % 9),))
         harness.network.advance(0.05)
     assert harness.network.advance_until(lambda: all(answered(caller) for caller in callers))
     assert {caller.status for caller in callers} == {200}
@@ -185,15 +185,15 @@
 
 
 def test_endpoints_whose_entries_expired_during_a_store_outage_stay_in_use():
-    """Without the mend no request is served until the entries are back."""
+    """Guards against requests that are not served until the entries are back."""
     harness = Harness()
     endpoints = [harness.endpoint(answer_ok) for _ in range(4)]
     harness.ready()
-    harness.rows.faults.away = True
+    harness.rows.faults.unavailable = True
     harness.network.advance(4.0)
     for endpoint in endpoints:
         harness.rows.remove("endpoints", endpoint.endpoint_id)
-    harness.rows.faults.away = False
+    harness.rows.faults.unavailable = False
     harness.network.advance_until(lambda: not harness.gateways[0].state.endpoints, 3.0)
     assert not harness.gateways[0].state.endpoints
     for _ in range(5):
@@ -209,11 +209,11 @@
     harness = Harness()
     endpoints = [harness.endpoint(answer_ok) for _ in range(4)]
     harness.ready()
-    harness.rows.faults.away = True
+    harness.rows.faults.unavailable = True
     harness.network.advance(4.0)
     for endpoint in endpoints[:3]:
         harness.rows.remove("endpoints", endpoint.endpoint_id)
-    harness.rows.faults.away = False
+    harness.rows.faults.unavailable = False
     harness.network.advance(4.0)
     before = [len(endpoint.requests) for endpoint in endpoints]
     for _ in range(10):
