--- a/turnward/gateway/__init__.py
+++ b/turnward/gateway/__init__.py
@@ -20,8 +20,8 @@
 from turnward.gateway.process import GatewayProcess, SourcesBase, new_incarnation
 from turnward.gateway.serving import serve_gateway
 from turnward.gateway.settings import GatewaySettings, load_gateway_settings
-from turnward.gateway.sources import ConfigurationListener, EndpointsListener
 from turnward.gateway.state import EndpointsSnapshot, FleetState
+from turnward.gateway.table_listeners import ConfigurationListener, EndpointsListener
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 
 __all__ = [
--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -22,11 +22,11 @@
 __all__ = [
     "FeedListenerBase",
     "FeedPaceBase",
-    "FleetPace",
-    "PromptPace",
+    "FleetPollSchedule",
+    "ImmediatePollSchedule",
     "Reread",
     "TableFeed",
-    "ToldPace",
+    "PeerConfirmedPollSchedule",
 ]
 
 #: Pauses after failures in a row, in seconds; the last one repeats.
@@ -114,7 +114,7 @@
         return False
 
 
-class PromptPace(FeedPaceBase):
+class ImmediatePollSchedule(FeedPaceBase):
     """Asks again at once."""
 
     def wait_s(self, usual_s: float) -> float:
@@ -126,7 +126,7 @@
         return 0.0
 
 
-class FleetPace(FeedPaceBase):
+class FleetPollSchedule(FeedPaceBase):
     """Asks seldom where other routers tell of what is new.
 
     In a fleet whose aggregators pass on which versions are newest, and who has them, a
@@ -147,16 +147,16 @@
 
     def wait_s(self, usual_s: float) -> float:
         """See ``FeedPaceBase.wait_s``."""
-        return usual_s if self._overlay.tells_others else max(usual_s, _LONG_WAIT_S)
+        return usual_s if self._overlay.publishes_updates else max(usual_s, _LONG_WAIT_S)
 
     def rest_s(self) -> float:
         """See ``FeedPaceBase.rest_s``."""
         if self._overlay.mesh:
             return 0.0
-        return _SHORT_REST_S if self._overlay.tells_others else self._rest_s
+        return _SHORT_REST_S if self._overlay.publishes_updates else self._rest_s
 
 
-class ToldPace(FleetPace):
+class PeerConfirmedPollSchedule(FleetPollSchedule):
     """Asks only where others do not tell that what is known here is the newest.
 
     For a table whose rows are large: 0.6 MB of configuration take a second of a link of
@@ -167,7 +167,7 @@
     overlay : Overlay
         Tells whether this router is one of those that others learn from.
     rest_s : float
-        As for ``FleetPace``.
+        As for ``FleetPollSchedule``.
     state : FleetState
         Tells when what is known was last confirmed.
     """
@@ -183,7 +183,7 @@
     @property
     def spared(self) -> bool:
         """See ``FeedPaceBase.spared``."""
-        if self._overlay.tells_others or not self._overlay.is_told:
+        if self._overlay.publishes_updates or not self._overlay.receives_updates:
             return False
         return self._state.unconfirmed_for_s() < _TOLD_LIFE_S
 
@@ -195,7 +195,7 @@
     @property
     def _has_members(self) -> bool:
         """Whether this router is an aggregator, and not one of a fleet where all tell all."""
-        return self._overlay.tells_others and not self._overlay.mesh
+        return self._overlay.publishes_updates and not self._overlay.mesh
 
 
 class TableFeed:
@@ -246,7 +246,7 @@
         self._draw = draw
         self._on_health = on_health
         self._on_answer = on_answer
-        self._pace = pace or PromptPace()
+        self._pace = pace or ImmediatePollSchedule()
         self._on_reread = on_reread
         self._reread_cause = ""
         self._reread_told: Reread | None = None
--- a/turnward/gateway/holders.py
+++ b/turnward/gateway/holders.py
@@ -125,17 +125,19 @@
     @property
     def count(self) -> int:
         """See ``HoldersBase.count``."""
-        return min(self._limit, self._book.most_live)
+        return min(self._limit, self._book.max_router_count)
 
     @property
     def all_routers_hold(self) -> bool:
         """See ``HoldersBase.all_routers_hold``."""
-        return self._book.most_live <= self._limit
+        return self._book.max_router_count <= self._limit
 
     @property
     def settled(self) -> bool:
         """See ``HoldersBase.settled``."""
-        return self._book.members_read and self._clock() - self._book.grown_s >= _SETTLED_S
+        return (
+            self._book.members_read and self._clock() - self._book.last_member_added_s >= _SETTLED_S
+        )
 
     def holds(self, workspace: str) -> bool:
         """See ``HoldersBase.holds``."""
--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -42,7 +42,7 @@
         offers = [
             (peer.address, offer.tokens)
             for peer in self._book.live()
-            if peer.heard_s >= oldest_s and not peer.digest.stopping
+            if peer.received_s >= oldest_s and not peer.digest.stopping
             for offer in peer.digest.spare
             if offer.workspace == workspace
         ]
--- a/turnward/gateway/member_ranks.py
+++ b/turnward/gateway/member_ranks.py
@@ -27,14 +27,14 @@
     @property
     def members(self) -> int:
         """How many routers may exist."""
-        return self._book.most_live
+        return self._book.max_router_count
 
     @property
     def known(self) -> bool:
         """Whether the members' table was read, so that ranks mean something."""
         return self._book.members_read
 
-    def of(self, key: str) -> int:
+    def rank_for(self, key: str) -> int:
         """Return how many members come before this router for a key."""
         if self._ranked_version != self._book.membership_version:
             self._ranked_version = self._book.membership_version
--- a/turnward/gateway/overlay.py
+++ b/turnward/gateway/overlay.py
@@ -161,7 +161,7 @@
     """A message, and when it came."""
 
     message: Digest | FleetSummary
-    heard_s: float
+    received_s: float
 
 
 class Overlay:
@@ -203,15 +203,15 @@
     @property
     def mesh(self) -> bool:
         """Whether each router tells all others of itself."""
-        return self._book.most_live <= MESH_LIMIT
+        return self._book.max_router_count <= MESH_LIMIT
 
     @property
-    def tells_others(self) -> bool:
+    def publishes_updates(self) -> bool:
         """Whether other routers learn from this one what is new."""
         return self.mesh or self._is_aggregator()
 
     @property
-    def is_told(self) -> bool:
+    def receives_updates(self) -> bool:
         """Whether an aggregator has told this router of the others lately.
 
         A router whose aggregators died with a change asks the store sooner than its old knowledge
@@ -338,7 +338,7 @@
         """Tell whether another member counts on this router, or none other is left."""
         now_s = self._clock()
         told = any(
-            now_s - heard.heard_s <= _LIFE_S
+            now_s - heard.received_s <= _LIFE_S
             for address, heard in self._members.items()
             if address != self._book.own_address
         )
@@ -359,7 +359,7 @@
         since_s = self._asked_since_s.get(address)
         if since_s is None:
             return False
-        heard = [kept[address].heard_s for kept in (self._sums, self._totals) if address in kept]
+        heard = [kept[address].received_s for kept in (self._sums, self._totals) if address in kept]
         if now_s - max([since_s, *heard]) <= _SILENT_AFTER_S:
             return False
         self._silent_until_s[address] = now_s + _SILENT_FOR_S
@@ -396,13 +396,13 @@
         message = heard.message
         if message.confirmed_age_s < 0:
             return message
-        age_s = message.confirmed_age_s + self._clock() - heard.heard_s
+        age_s = message.confirmed_age_s + self._clock() - heard.received_s
         return msgspec.structs.replace(message, confirmed_age_s=round(age_s, 3))
 
     def _fresh(self, kept: dict[str, _Heard]) -> list[_Heard]:
         """Return the messages of the last second, and forget older ones."""
         since_s = self._clock() - _LIFE_S
-        for address in [address for address, heard in kept.items() if heard.heard_s < since_s]:
+        for address in [address for address, heard in kept.items() if heard.received_s < since_s]:
             del kept[address]
         return list(kept.values())
 
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -145,12 +145,12 @@
 class Peer:
     """One peer as last heard."""
 
-    __slots__ = ("address", "digest", "heard_s", "link_mbit_per_s", "member", "zone")
+    __slots__ = ("address", "digest", "received_s", "link_mbit_per_s", "member", "zone")
 
     def __init__(self, address: str):
         self.address = address
         self.digest: Digest | None = None
-        self.heard_s: float | None = None
+        self.received_s: float | None = None
         self.member = False
         self.zone = ""
         self.link_mbit_per_s = 0.0
@@ -172,7 +172,7 @@
     ----------
     membership_version : int
         Rises when a member is added, or told of with another width of its link.
-    grown_s : float
+    last_member_added_s : float
         When the last member was added.
     members_read : bool
         Whether the members' table was read.
@@ -184,7 +184,7 @@
         self._peers: dict[str, Peer] = {}
         self._member_count = 0
         self.membership_version = 0
-        self.grown_s = clock()
+        self.last_member_added_s = clock()
         self.members_read = False
 
     def add(self, address: str) -> None:
@@ -206,7 +206,7 @@
             peer.member = True
             self._member_count += 1
             self.membership_version += 1
-            self.grown_s = self._clock()
+            self.last_member_added_s = self._clock()
 
     def hear(self, digest: Digest) -> Peer | None:
         """Take in a digest; return its sender unless that is this router."""
@@ -215,7 +215,7 @@
         self.add_member(digest.address, digest.zone, digest.link_mbit_per_s)
         peer = self._peers[digest.address]
         peer.digest = digest
-        peer.heard_s = self._clock()
+        peer.received_s = self._clock()
         return peer
 
     def knows(self, address: str) -> bool:
@@ -237,7 +237,7 @@
         return [peer for peer in self._peers.values() if peer.member]
 
     @property
-    def most_live(self) -> int:
+    def max_router_count(self) -> int:
         """The most routers that may live, this one among them."""
         return 1 + self._member_count
 
@@ -249,7 +249,7 @@
     def live(self) -> list[Peer]:
         """Return the peers heard lately."""
         since_s = self._clock() - _LIFE_S
-        return [peer for peer in self._peers.values() if (peer.heard_s or -1e9) >= since_s]
+        return [peer for peer in self._peers.values() if (peer.received_s or -1e9) >= since_s]
 
     def loads(self) -> dict[str, EndpointLoad]:
         """Return what all peers together have in flight, by endpoint."""
@@ -257,7 +257,7 @@
         fresh = [
             peer.digest.loads
             for peer in self._peers.values()
-            if peer.digest is not None and peer.heard_s >= since_s
+            if peer.digest is not None and peer.received_s >= since_s
         ]
         return {load.endpoint: load for load in sum_loads(fresh)}
 
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -31,7 +31,7 @@
 from turnward.quarantine import Quarantine
 from turnward.rows import RowVersion
 
-__all__ = ["PeerExchange", "PeerTask"]
+__all__ = ["PeerDatagramProtocol", "PeerSynchronizer"]
 
 #: Seconds between two digests.
 _PERIOD_S = 0.25
@@ -54,7 +54,7 @@
 ENDPOINTS_PATH = b"/state/endpoints/packed"
 
 
-class PeerExchange(DatagramProtocol):
+class PeerDatagramProtocol(DatagramProtocol):
     """Sends and receives digests.
 
     Parameters
@@ -112,7 +112,7 @@
     return msgspec.msgpack.encode(message)
 
 
-class PeerTask:
+class PeerSynchronizer:
     """Keeps this router and its peers in step.
 
     Parameters
@@ -173,7 +173,7 @@
         self.overlay = Overlay(book, identity.zone, reactor.seconds, identity.link_mbit_per_s)
         self._seen_live: set[str] = set()
         self._callers: dict[str, HttpCaller] = {}
-        self.exchange = PeerExchange(self.hear, self._note_refused)
+        self.exchange = PeerDatagramProtocol(self.hear, self._note_refused)
         #: The layout that each peer told of itself last; it is told in the same.
         self._layouts: dict[str, int] = {}
         #: The layout in which each machine last sent what can't be read.
@@ -191,7 +191,7 @@
         self._note_changes()
         self._tell()
 
-    def tell_soon(self) -> None:
+    def announce_soon(self) -> None:
         """Tell the others before the next round is due."""
         if self._telling_soon is None:
             self._telling_soon = self._reactor.callLater(_SOON_S, self._tell)
@@ -250,7 +250,7 @@
 
     def _some_short(self) -> bool:
         since_s = self._reactor.seconds() - _SHORT_LIFE_S
-        return any(peer.digest.short and peer.heard_s >= since_s for peer in self._book.live())
+        return any(peer.digest.short and peer.received_s >= since_s for peer in self._book.live())
 
     def hear(self, message: Digest | FleetSummary) -> None:
         """Take in what a peer tells, and fetch what it, or another, knows better."""
@@ -408,12 +408,12 @@
     async def call(self, address: str, path: bytes, body: bytes, timeout_s: float) -> bytes | None:
         """Return the body of a peer's answer, None when there was no good one."""
         try:
-            return await self.call_or_fail(address, path, body, timeout_s)
+            return await self.call_or_raise(address, path, body, timeout_s)
         except Http1Error as failure:
             self._log.failure("peer.fetch_failed", peer=address, what=path.decode(), cause=failure)
             return None
 
-    async def call_or_fail(
+    async def call_or_raise(
         self, address: str, path: bytes, body: bytes, timeout_s: float
     ) -> bytes | None:
         """Return the body of a peer's answer, None when it was no success.
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -18,10 +18,10 @@
 from turnward.gateway.feeds import (
     FeedListenerBase,
     FeedPaceBase,
-    FleetPace,
+    FleetPollSchedule,
+    PeerConfirmedPollSchedule,
     Reread,
     TableFeed,
-    ToldPace,
 )
 from turnward.gateway.forwarding import Forwarder, ForwardingRules
 from turnward.gateway.holder_client import HolderClient
@@ -33,14 +33,14 @@
 from turnward.gateway.members import MEMBERS_TABLE, Member, encode_member
 from turnward.gateway.metrics import GatewayMetrics
 from turnward.gateway.peer_book import DIGEST_LAYOUT, Digest, PeerBook
-from turnward.gateway.peers import PeerTask
+from turnward.gateway.peers import PeerSynchronizer
 from turnward.gateway.prepaid import WITHHELD_SHARE_PER_PRIORITY, PrepaidAccounts
 from turnward.gateway.quarantine_rows import QuarantineRows
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.retries import RetryBudgetRule
 from turnward.gateway.settings import GatewaySettings
-from turnward.gateway.sources import MembersListener
 from turnward.gateway.state import FleetState
+from turnward.gateway.table_listeners import MembersListener
 from turnward.gateway.unreadable_rows import UnreadableRow
 from turnward.gateway.warm_up import WarmUpShares
 from turnward.http1 import (
@@ -213,7 +213,7 @@
             self.incarnation,
             _SIZING,
             log,
-            lambda: self.book.most_live,
+            lambda: self.book.max_router_count,
             end_reserve_rule=EndReserveRule(share=settings.budget_reserve_share),
             withheld_share_per_priority=WITHHELD_SHARE_PER_PRIORITY
             if settings.mechanisms.urgency_in_cut
@@ -225,12 +225,12 @@
             reactor.seconds,
             QuarantineRule.from_heartbeat(settings.endpoint_heartbeat_ms / 1_000),
             self._quarantine_changed,
-            ranks.of,
+            ranks.rank_for,
         )
         self._quarantine_rows = QuarantineRows(
             reactor, store, self.quarantine, self.state.unreadable_rows, self._draw
         )
-        self.peers = PeerTask(
+        self.peers = PeerSynchronizer(
             reactor,
             self._identity(),
             self.state,
@@ -296,7 +296,9 @@
         """Join the accounts to the peers that lend."""
         call = self.peers.call
         self.accounts.on_written = self._account_written
-        self.accounts.holder_client = HolderClient(self.holders, self.peers.call_or_fail, self._log)
+        self.accounts.holder_client = HolderClient(
+            self.holders, self.peers.call_or_raise, self._log
+        )
         if self._settings.mechanisms.loans:
             peers = PeerLenders(self.book, call, self._reactor.seconds)
             self.accounts.lenders = HolderLenders(self.holders, peers, self._reactor.seconds)
@@ -304,7 +306,7 @@
     def _account_written(self) -> None:
         """Let the others know what a store that goes back would lose."""
         if self._store.eras.known is not None:
-            self.peers.tell_soon()
+            self.peers.announce_soon()
 
     def _add_seeds(self) -> None:
         for seed in self._settings.seeds:
@@ -343,7 +345,7 @@
             self.endpoints,
             self.accounts,
             self.quarantine,
-            lambda: self.book.most_live,
+            lambda: self.book.max_router_count,
             self._log,
             self._metrics,
             self._draw,
@@ -355,14 +357,14 @@
             on_answer = self.state.confirm if confirms else None
             yield table, wait_s, listener, on_answer, self._pace(confirms)
         members = MembersListener(self.book, self.state.unreadable_rows)
-        pace = FleetPace(self.peers.overlay, _MEMBERS_REST_S)
+        pace = FleetPollSchedule(self.peers.overlay, _MEMBERS_REST_S)
         yield MEMBERS_TABLE, _MEMBERS_WAIT_S, members, None, pace
 
     def _pace(self, holds_configuration: bool) -> FeedPaceBase:
         """Return how often the store is asked for a table of configuration or endpoints."""
         if holds_configuration:
-            return ToldPace(self.peers.overlay, _ROWS_REST_S, self.state)
-        return FleetPace(self.peers.overlay, _ROWS_REST_S)
+            return PeerConfirmedPollSchedule(self.peers.overlay, _ROWS_REST_S, self.state)
+        return FleetPollSchedule(self.peers.overlay, _ROWS_REST_S)
 
     def _health_of(self, table: str):
         def note(works: bool, cause: str = "") -> None:
@@ -580,9 +582,9 @@
             "process.figures",
             store_calls=self._metrics.store_call_counts(),
             open_requests=len(self.forwarder.open_requests),
-            members=self.book.most_live,
+            members=self.book.max_router_count,
             live=overlay.live_routers,
-            tells_others=overlay.tells_others,
+            tells_others=overlay.publishes_updates,
             drained=sorted(self.state.zone_orders.drained),
         )
 
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -94,7 +94,7 @@
             limit.note_sent(self._clock())
 
     def _share(self, incarnation: str, per_s: float) -> RateShare:
-        rank = self._ranks.of(incarnation) if self._ranks.known else self._ranks.members
+        rank = self._ranks.rank_for(incarnation) if self._ranks.known else self._ranks.members
         return RateShare.from_rate(per_s, rank, self._ranks.members)
 
     # Exchange among routers.
--- a/turnward/gateway/standalone.py
+++ b/turnward/gateway/standalone.py
@@ -14,7 +14,7 @@
 
 from turnward.gateway.configuration import Configuration, EndpointEntry
 from turnward.gateway.process import SourcesBase
-from turnward.gateway.sources import ConfigurationListener, EndpointsListener
+from turnward.gateway.table_listeners import ConfigurationListener, EndpointsListener
 from turnward.rows import (
     RowKey,
     RowOutcomeUnknownError,
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -148,7 +148,7 @@
         snapshot: EndpointsSnapshot,
         source: str,
         written: Collection[str] = (),
-        settled: bool = False,
+        authoritative: bool = False,
     ) -> bool:
         """Take in all endpoints unless what is known is as new.
 
@@ -160,12 +160,12 @@
             Whether all that the store lost with its last return has been written anew.
         """
         known = self.endpoints_version
-        if snapshot.as_of < known or (snapshot.as_of == known and not settled):
+        if snapshot.as_of < known or (snapshot.as_of == known and not authoritative):
             return False
         now_s = self._clock()
         if known and snapshot.era > known.era:
             self._departures.begin_rollback_recovery(now_s)
-        if settled:
+        if authoritative:
             self._departures.end_rollback_recovery()
         entries = {entry.endpoint_id: self._newer(entry) for entry in snapshot.entries}
         self._departures.mark_rewritten(entries[name] for name in written if name in entries)
--- a/turnward/gateway/sources.py
+++ b/turnward/gateway/table_listeners.py
@@ -121,7 +121,7 @@
 
     def table_read(self, table: TableChanges) -> None:
         """See ``FeedListenerBase.table_read``."""
-        self._adopt({}, table, settled=not table.provisional)
+        self._adopt({}, table, authoritative=not table.provisional)
 
     def rows_changed(self, changes: TableChanges) -> None:
         """See ``FeedListenerBase.rows_changed``."""
@@ -133,7 +133,7 @@
         entries: dict[str, EndpointEntry],
         changes: TableChanges,
         written: Collection[str] = (),
-        settled: bool = False,
+        authoritative: bool = False,
     ) -> None:
         for row in changes.rows:
             entries.pop(row.key.key, None)
@@ -141,7 +141,7 @@
             if entry is not None:
                 entries[row.key.key] = entry
         snapshot = EndpointsSnapshot.at(changes.version, tuple(entries.values()))
-        self._state.adopt_endpoints(snapshot, "store", written, settled)
+        self._state.adopt_endpoints(snapshot, "store", written, authoritative)
 
     def _read(self, row: StoredRow) -> EndpointEntry | None:
         """Return the entry in a row, None when it is gone or can't be read.
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -252,7 +252,7 @@
             self.peers.add_member(f"10.1.0.{number}:1", "z")
         self.peers.members_read = members_read
         ranks = MemberRanks(self.peers)
-        ranks.of = lambda endpoint_id: rank
+        ranks.rank_for = lambda endpoint_id: rank
         self.book = EndpointBook(
             "z",
             lambda: self.now_s,
--- a/turnward/gateway/tests/test_feeds.py
+++ b/turnward/gateway/tests/test_feeds.py
@@ -6,7 +6,7 @@
 import pytest
 from twisted.internet import task
 
-from turnward.gateway.feeds import FeedListenerBase, TableFeed, ToldPace
+from turnward.gateway.feeds import FeedListenerBase, PeerConfirmedPollSchedule, TableFeed
 from turnward.gateway.state import FleetState
 from turnward.rows import RowsUnavailableError, TableChanges
 
@@ -59,7 +59,7 @@
 
     mesh = False
     tells_others = False
-    is_told = True
+    receives_updates = True
 
 
 class Harness:
@@ -79,7 +79,7 @@
             WAIT_S,
             random.Random(1),
             lambda *_: None,
-            pace=ToldPace(self.overlay, 0.0, self.state),
+            pace=PeerConfirmedPollSchedule(self.overlay, 0.0, self.state),
         )
 
     def start(self):
@@ -103,9 +103,7 @@
     ("away_s", "tells_others", "question"),
     [(2.0, True, 5), (8.0, True, "table"), (8.0, False, 5)],
 )
-def test_after_a_long_outage_those_that_tell_others_read_the_table_anew(
-    away_s, tells_others, question
-):
+def test_publishing_routers_reread_the_table_after_a_long_outage(away_s, tells_others, question):
     """It is 0.6 MB even if nothing changed: 603 KB at each of 40 routers, now at six of them."""
     harness = Harness().start()
     harness.overlay.tells_others = tells_others
@@ -117,7 +115,7 @@
     assert harness.store.answered[0] == question
 
 
-def test_after_a_long_outage_a_feed_goes_on_from_what_others_told():
+def test_feed_resumes_from_the_version_of_its_peers_after_a_long_outage():
     harness = Harness().start()
     harness.overlay.tells_others = True
     harness.store.unavailable = True
@@ -131,7 +129,7 @@
     assert set(harness.store.answered) == {9}
 
 
-def test_a_feed_asks_nothing_while_others_confirm_what_is_known():
+def test_feed_does_not_poll_while_peers_confirm_its_version():
     harness = Harness().start().confirmed_by_others()
     for _ in range(20):
         harness.state.confirm()
@@ -141,21 +139,21 @@
     assert harness.store.asked
 
 
-def test_a_feed_asks_when_its_router_becomes_one_that_others_learn_from():
+def test_feed_polls_when_its_router_becomes_a_publisher():
     harness = Harness().start().confirmed_by_others()
     harness.overlay.tells_others = True
     harness.run(0.5)
     assert harness.store.asked
 
 
-def test_a_feed_asks_when_nobody_tells_its_router_anything():
+def test_feed_polls_when_its_router_receives_no_updates():
     harness = Harness().start().confirmed_by_others()
-    harness.overlay.is_told = False
+    harness.overlay.receives_updates = False
     harness.run(0.5)
     assert harness.store.asked
 
 
-def test_a_feed_stops_while_it_asks_nothing():
+def test_feed_can_be_stopped_while_it_does_not_poll():
     harness = Harness().start().confirmed_by_others()
     harness.feed.stop()
     harness.run(5.0)
--- a/turnward/gateway/tests/test_fuzz.py
+++ b/turnward/gateway/tests/test_fuzz.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from turnward.gateway import RetryPolicy
-from turnward.gateway.peers import PeerExchange
+from turnward.gateway.peers import PeerDatagramProtocol
 from turnward.gateway.tests.harness import PEERS_PORT, READY_PORT, Harness, answer_ok, raw_answer
 
 FUZZ_SETTINGS = settings(max_examples=150, deadline=None, derandomize=True, database=None)
@@ -128,7 +128,7 @@
 def test_arbitrary_bytes_at_internal_ports(data):
     harness = ready_harness()
     sender = harness.network.machine("10.7.7.7")
-    sender.listenUDP(5, PeerExchange(lambda message: None, lambda host, layout: None))
+    sender.listenUDP(5, PeerDatagramProtocol(lambda message: None, lambda host, layout: None))
     harness.machines[0].datagram_listeners[PEERS_PORT].datagramReceived(data, ("10.7.7.7", 5))
     for port in (PEERS_PORT, READY_PORT):
         caller = harness.connect(port=port)
--- a/turnward/gateway/tests/test_builds_side_by_side.py
+++ b/turnward/gateway/tests/test_mixed_versions.py
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda path: path.stem)
-def test_messages_of_older_builds_are_read_with_every_field(recorded):
+def test_messages_of_older_versions_are_read_with_every_field(recorded):
     messages = json.loads(recorded.read_text())
     assert len(messages) >= 10
     for message in messages:
@@ -96,13 +96,13 @@
 
 
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda path: path.stem)
-def test_datagrams_of_older_builds_have_layouts_that_are_read(recorded):
+def test_datagrams_of_older_versions_have_supported_layouts(recorded):
     for message in json.loads(recorded.read_text()):
         if "layout" in message["fields"]:
             assert OLDEST_DIGEST_LAYOUT <= message["fields"]["layout"] <= DIGEST_LAYOUT
 
 
-def test_field_in_the_middle_is_found():
+def test_field_inserted_in_the_middle_is_detected():
     """Read by guess, a number would be taken for another field's."""
 
     class Middle(msgspec.Struct, frozen=True, array_like=True):
@@ -127,7 +127,7 @@
     ]
 
 
-def test_older_reader_passes_over_what_was_added():
+def test_older_reader_ignores_added_fields():
     """A reader that knows the first fields only, as a build before rate limits does."""
 
     class Older(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("layout", [4, 5, 6])
 @pytest.mark.parametrize("gateways", [2, 4, 14])
-def test_routers_of_both_builds_hear_each_other(layout, gateways):
+def test_routers_of_both_versions_receive_each_others_messages(layout, gateways):
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.rows.put("configuration", "all", msgspec.json.encode(harness.configuration))
@@ -175,7 +175,7 @@
     assert [one.peers.overlay.live_routers for one in harness.gateways] == [gateways] * gateways
 
 
-def test_builds_that_read_their_own_layout_only_are_apart():
+def test_versions_that_read_only_their_own_layout_do_not_communicate():
     """As it was: the later build spoke its own layout to all."""
     harness = Harness()
     harness.endpoint(answer_ok)
@@ -186,7 +186,7 @@
     assert [one.peers.overlay.live_routers for one in harness.gateways] == [2] * 4
 
 
-def test_layout_that_is_not_known_is_counted_and_told_once():
+def test_unknown_layout_is_counted_and_logged_once():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready(gateways=2)
@@ -198,7 +198,7 @@
     assert (line["host"], line["layout"]) == (harness.machines[1].host, 3)
 
 
-def test_bytes_that_are_no_message_are_counted_and_told_once():
+def test_undecodable_datagrams_are_counted_and_logged_once():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
--- a/turnward/gateway/tests/test_overlay.py
+++ b/turnward/gateway/tests/test_overlay.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("size", [7, 19, 86, 300])
-def test_every_router_sees_all_others_at_a_flat_cost(size):
+def test_every_router_sees_all_others_at_bounded_cost(size):
     fleet = Fleet(size)
     fleet.run(2.0)
     seen = [router.others_loads() for router in fleet.routers]
@@ -108,7 +108,7 @@
     assert max(router.largest for router in fleet.routers) < 4_000
 
 
-def test_lost_datagrams_cost_little():
+def test_few_loads_are_missed_when_datagrams_are_lost():
     fleet = Fleet(86, loss=0.03)
     fleet.run(6.0)
     seen = [router.others_loads() for router in fleet.routers]
@@ -116,7 +116,7 @@
     assert min(seen) >= 0.5 * 85
 
 
-def test_dead_routers_are_left_out_and_their_members_find_other_aggregators():
+def test_crashed_routers_are_excluded_and_their_members_switch_aggregators():
     fleet = Fleet(86)
     fleet.run(2.0)
     for router in fleet.draw.sample(fleet.routers, 30):
@@ -128,7 +128,7 @@
     assert sum(live) / len(live) >= 0.9 * len(alive)
 
 
-def test_each_side_of_a_cut_keeps_a_true_view_of_its_own():
+def test_each_side_of_a_partition_counts_only_its_own_routers():
     fleet = Fleet(86)
     fleet.run(2.0)
     side = {router.address for router in fleet.draw.sample(fleet.routers, 26)}
@@ -144,7 +144,7 @@
     assert means[False] / (86 - len(side)) >= 0.85 * (86 - len(side))
 
 
-def test_a_cut_one_way_hides_nobody_for_long_on_the_side_that_hears():
+def test_routers_still_receiving_in_a_one_way_partition_see_most_others():
     fleet = Fleet(86)
     fleet.run(2.0)
     deaf = {router.address for router in fleet.draw.sample(fleet.routers, 10)}
@@ -155,7 +155,7 @@
     assert sum(live) / len(live) >= 0.75 * 86
 
 
-def test_a_newer_configuration_reaches_every_router_and_no_router_is_asked_by_all():
+def test_newer_configuration_reaches_every_router_without_overloading_one():
     """Each router takes the version that it hears of from whoever it is told has it."""
     fleet = Fleet(86)
     fleet.run(2.0)
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("size", [7, 86])
-def test_a_confirmation_is_never_taken_for_later_than_it_was(size):
+def test_confirmation_age_is_never_understated(size):
     """What one router confirmed at a moment looks as old as it is, at whatever level."""
     fleet = Fleet(size)
     confirmed_s = fleet.clock.seconds()
@@ -213,7 +213,7 @@
     assert max(told_s) <= confirmed_s + 3 * (DELAY_S + 0.05)
 
 
-def test_small_fleets_tell_all_others():
+def test_small_fleets_form_a_full_mesh():
     fleet = Fleet(MESH_LIMIT)
     assert fleet.routers[0].overlay.mesh
     assert len(fleet.routers[0].overlay.outgoing(fleet.routers[0].digest())) == MESH_LIMIT - 1
@@ -221,13 +221,13 @@
 
 
 @pytest.mark.parametrize("size", [19, 195])
-def test_number_that_bounds_rules_counts_every_member(size):
+def test_max_router_count_includes_every_member(size):
     fleet = Fleet(size, loss=0.2)
     fleet.run(1.0)
-    assert {router.book.most_live for router in fleet.routers} == {size}
+    assert {router.book.max_router_count for router in fleet.routers} == {size}
 
 
-def test_router_that_has_told_nothing_yet_or_stood_still_knows_of_no_loads():
+def test_router_that_just_started_or_was_paused_knows_no_loads():
     fleet = Fleet(19)
     for router in fleet.routers:
         assert router.overlay.loads() == {}
--- a/turnward/gateway/tests/test_packing.py
+++ b/turnward/gateway/tests/test_packing.py
@@ -36,7 +36,7 @@
     return Configuration(version=3, routes=routes)
 
 
-def test_a_large_configuration_is_passed_on_in_few_bytes():
+def test_large_configuration_is_packed_below_the_limit():
     copy = ConfigurationCopy(large_configuration(), 5)
     packed = pack(copy)
     assert len(packed) < PACKED_LIMIT_BYTES < len(msgspec.msgpack.encode(copy))
@@ -44,6 +44,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"x", zlib.compress(b"x"), zlib.compress(b"")])
-def test_bytes_that_are_no_configuration_are_told_as_such(data):
+def test_undecodable_bytes_raise_decode_error(data):
     with pytest.raises(msgspec.DecodeError):
         unpack(data, ConfigurationCopy)
--- a/turnward/gateway/tests/test_rows_of_routers.py
+++ b/turnward/gateway/tests/test_router_tables.py
@@ -12,7 +12,7 @@
 READ_ONLY = {"configuration", "endpoints"}
 
 
-def test_page_names_every_table_that_routers_write():
+def test_page_lists_every_table_that_routers_write():
     sources = [path.read_text() for path in Path("turnward/gateway").glob("*.py")]
     tables = {name for source in sources for name in TABLE.findall(source)}
     section = PAGE.read_text().partition("Every row that routers write")[2]
--- a/turnward/gateway/tests/test_store_returns.py
+++ b/turnward/gateway/tests/test_store_rollback.py
@@ -31,7 +31,7 @@
     return len(endpoint.requests) - before
 
 
-def test_endpoint_that_leaves_after_the_store_came_back_is_sent_nothing_more():
+def test_endpoint_draining_after_rollback_gets_no_requests():
     play = RollbackSimulation(gateways=3)
     play.run_traffic(8.0)
     play.roll_back(7.0, away_s=2.5)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("how", ["says it leaves", "is gone"])
-def test_copy_from_before_an_endpoint_left_brings_it_no_requests(how):
+def test_rollback_to_before_an_endpoint_drained_sends_it_no_requests(how):
     """Its row of before stands again, until the endpoint has written anew what was lost."""
     play = RollbackSimulation(gateways=3)
     play.run_traffic(6.0)
@@ -60,7 +60,7 @@
     assert set(play.statuses()) == {200}
 
 
-def test_endpoint_that_lives_is_used_again_though_its_entry_had_gone():
+def test_live_endpoint_is_used_again_after_its_entry_was_removed():
     """What is known of before the return holds for some seconds only, where nothing confirms it."""
     play = RollbackSimulation(gateways=3)
     play.run_traffic(6.0)
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("written_again_s", [0.0, 2.0])
-def test_zone_that_was_drained_stays_drained_over_a_return(written_again_s):
+def test_drained_zone_stays_drained_across_rollback(written_again_s):
     play = RollbackSimulation(gateways=3)
     for endpoint, zone in zip(play.endpoints, ("north", "north", "south", "south"), strict=True):
         play.harness.announce(endpoint, zone=zone)
@@ -93,7 +93,7 @@
     assert len(north[0].requests) > before[0]
 
 
-def test_router_that_starts_while_the_store_is_away_ends_no_order():
+def test_router_started_during_an_outage_keeps_zone_orders():
     """It knew the order by its peers, and took the first table that it read for all there is."""
     play = RollbackSimulation(gateways=3)
     play.harness.announce(play.endpoints[0], zone="north")
@@ -109,7 +109,7 @@
     assert len(north.requests) == before
 
 
-def test_order_that_the_store_lost_for_good_ends_some_seconds_after_the_return():
+def test_zone_order_lost_for_good_ends_seconds_after_rollback():
     play = RollbackSimulation(gateways=3)
     play.harness.announce(play.endpoints[0], zone="north")
     play.run_traffic(6.0)
@@ -122,7 +122,7 @@
     assert len(play.endpoints[0].requests) > before
 
 
-def test_router_that_started_in_the_lost_seconds_is_a_member_after_the_return():
+def test_router_started_in_lost_seconds_is_a_member_after_rollback():
     play = RollbackSimulation(gateways=2)
     play.run_traffic(6.0)
     play.harness.gateway()
@@ -134,7 +134,7 @@
     assert addresses == {gateway.peers_address for gateway in play.harness.gateways}
 
 
-def test_return_is_told_once_by_each_router():
+def test_rollback_is_logged_once_by_each_router():
     play = RollbackSimulation(gateways=3)
     play.run_traffic(6.0)
     play.roll_back(5.0)
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("age_s", [0.5, 2.0, 5.0, 10.0])
-def test_calls_to_the_store_over_a_return_stay_few(age_s):
+def test_store_calls_stay_few_across_rollback(age_s):
     """A feed was refused and asked again at once, hundreds of times a second."""
     play = RollbackSimulation(gateways=3)
     play.run_traffic(12.0)
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -8,7 +8,7 @@
 import pytest
 
 from turnward.gateway import Configuration, EndpointPool, FleetState, WarmUpTraits
-from turnward.gateway.sources import ConfigurationListener
+from turnward.gateway.table_listeners import ConfigurationListener
 from turnward.gateway.tests.harness import Harness, abort_connection, answer_ok, stream_events
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 from turnward.rows import RowKey, StoredRow, TableChanges
--- a/turnward/gateway/warm_up.py
+++ b/turnward/gateway/warm_up.py
@@ -67,7 +67,7 @@
     def allowance(self, endpoint_id: str, requests_per_s: float) -> Allowance:
         """Return this router's share of an endpoint's rate."""
         senders = max(1, min(self.members, int(requests_per_s)))
-        rank = self._ranks.of(endpoint_id)
+        rank = self._ranks.rank_for(endpoint_id)
         if rank >= senders or not self._ranks.known:
             return Allowance(float("inf"), rank, senders)
         # Whole requests per second each, so that no sliding second exceeds the rate.
