--- a/turnward/gateway/tests/test_feeds.py
+++ b/turnward/gateway/tests/test_feeds.py
@@ -58,7 +58,7 @@
     """One router's place in the exchange."""
 
     mesh = False
-    tells_others = False
+    publishes_updates = False
     receives_updates = True
 
 
@@ -100,13 +100,15 @@
 
 
 @pytest.mark.parametrize(
-    ("away_s", "tells_others", "question"),
+    ("away_s", "publishes_updates", "question"),
     [(2.0, True, 5), (8.0, True, "table"), (8.0, False, 5)],
 )
-def test_publishing_routers_reread_the_table_after_a_long_outage(away_s, tells_others, question):
+def test_publishing_routers_reread_the_table_after_a_long_outage(
+    away_s, publishes_updates, question
+):
     """It is 0.6 MB even if nothing changed: 603 KB at each of 40 routers, now at six of them."""
     harness = Harness().start()
-    harness.overlay.tells_others = tells_others
+    harness.overlay.publishes_updates = publishes_updates
     harness.store.unavailable = True
     harness.run(away_s)
     harness.store.answered.clear()
@@ -117,7 +119,7 @@
 
 def test_feed_resumes_from_the_version_of_its_peers_after_a_long_outage():
     harness = Harness().start()
-    harness.overlay.tells_others = True
+    harness.overlay.publishes_updates = True
     harness.store.unavailable = True
     harness.run(8.0)
     harness.listener.known = 9
@@ -141,7 +143,7 @@
 
 def test_feed_polls_when_its_router_becomes_a_publisher():
     harness = Harness().start().confirmed_by_others()
-    harness.overlay.tells_others = True
+    harness.overlay.publishes_updates = True
     harness.run(0.5)
     assert harness.store.asked
 
