--- a/turnward/gateway/account_updates.py
+++ b/turnward/gateway/account_updates.py
@@ -78,7 +78,7 @@
     >>> eras.observe_era(1)
     >>> updates = AccountUpdates(lambda: 0.0, eras)
     >>> updates.record_written("acme", RowVersion.of(1, 7), 500)
-    >>> updates.take_in([AccountUpdate("acme", 1, 6, 900)])
+    >>> updates.merge([AccountUpdate("acme", 1, 6, 900)])
     >>> updates.latest("acme").tokens, len(updates.told())
     (500, 1)
     """
@@ -123,14 +123,14 @@
         """Announce all known rows for a while, after a rollback or a router's start."""
         self._announce_all_until_s = self._clock() + _ANNOUNCE_ALL_S
 
-    def take_in(self, updates: Iterable[AccountUpdate]) -> None:
+    def merge(self, updates: Iterable[AccountUpdate]) -> None:
         """Merge the updates that another router has announced."""
         for update in updates:
             self._has_received = True
             version = RowVersion.of(update.era, update.number)
             self._record(update.workspace, TakenTokens(version, update.taken_tokens))
 
-    def told(self) -> tuple[AccountUpdate, ...]:
+    def announced(self) -> tuple[AccountUpdate, ...]:
         """Return the updates to announce now, the latest first."""
         if self._eras.known is None and not self._has_received:
             return ()
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -66,7 +66,7 @@
     >>> exchange.record("e-1", draining=False, backoff_s=2.0)
     >>> exchange.words()
     (FeedbackUpdate(endpoint='e-1', draining=False, backoff_left_ms=2000),)
-    >>> exchange.take_in([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
+    >>> exchange.merge([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
     FeedbackUpdate(endpoint='e-2', draining=True, backoff_left_ms=0)
     """
 
@@ -80,7 +80,7 @@
         """Record feedback that an endpoint gave this router."""
         self._merge(endpoint, draining, backoff_s)
 
-    def take_in(self, updates: Iterable[FeedbackUpdate]) -> None:
+    def merge(self, updates: Iterable[FeedbackUpdate]) -> None:
         """Merge updates of another router."""
         for update in updates:
             if self._merge(update.endpoint, update.draining, update.backoff_left_ms / 1_000):
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -244,8 +244,8 @@
             zone_orders=self._state.announced_zone_orders(),
             quarantine=self._quarantine.make_update(),
             words=self._feedback_exchange.words(),
-            limits=self._limits.told(),
-            accounts=self._accounts.updates.told(),
+            limits=self._limits.announced(),
+            accounts=self._accounts.updates.announced(),
         )
 
     def _some_short(self) -> bool:
@@ -257,9 +257,9 @@
         if message.address != self._book.own_address:
             self._layouts[message.address] = message.layout
             self._state.adopt_announced_zone_orders(message.zone_orders, f"peer {message.address}")
-            self._quarantine.take_in(message.quarantine)
-            self._feedback_exchange.take_in(message.words)
-            self._limits.take_in(message.limits)
+            self._quarantine.merge(message.quarantine)
+            self._feedback_exchange.merge(message.words)
+            self._limits.merge(message.limits)
         if isinstance(message, Digest):
             self._hear_digest(message)
         elif message.address != self._book.own_address:
@@ -286,7 +286,7 @@
         if peer is None:
             return
         self.overlay.hear_digest(digest)
-        self._accounts.updates.take_in(digest.accounts)
+        self._accounts.updates.merge(digest.accounts)
         if not known:
             self.exchange.send(_encode(self.digest(), digest.layout), digest.address)
         self._compare(
--- a/turnward/gateway/quarantine_rows.py
+++ b/turnward/gateway/quarantine_rows.py
@@ -141,7 +141,7 @@
                 self._unreadable_rows.mark_unreadable(row, failure)
                 continue
             if self._quarantine.within_retention(lost):
-                self._quarantine.take_in(QuarantineUpdate(lost))
+                self._quarantine.merge(QuarantineUpdate(lost))
             else:
                 forgotten.append(row.key)
         if forgotten:
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -99,7 +99,7 @@
 
     # Exchange among routers.
 
-    def told(self) -> tuple[ToldLimit, ...]:
+    def announced(self) -> tuple[ToldLimit, ...]:
         """Return the recently received limits to announce, newest first."""
         now_s = self._clock()
         updates = [
@@ -116,7 +116,7 @@
         updates.sort(key=lambda update: update.age_ms)
         return tuple(updates[:_MAX_ANNOUNCED])
 
-    def take_in(self, updates: Iterable[ToldLimit]) -> None:
+    def merge(self, updates: Iterable[ToldLimit]) -> None:
         """Merge updates of another router."""
         now_s = self._clock()
         for update in updates:
--- a/turnward/gateway/tests/rate_limit_simulation.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -224,14 +224,14 @@
         self._at(self.clock() + _UPDATE_INTERVAL_S, partial(self._announce, router))
         if router.isolated:
             return
-        updates = router.limits.told()
+        updates = router.limits.announced()
         # Each round reaches some of the others directly, and all of them after a few rounds.
         others = self.rng.sample(self.routers, min(12, len(self.routers)))
         for other in others:
             if not other.isolated and other is not router:
                 self._at(
                     self.clock() + self.scenario.update_delay_s,
-                    partial(other.limits.take_in, updates),
+                    partial(other.limits.merge, updates),
                 )
 
     def reaches_first(self, router, endpoint) -> bool:
@@ -326,7 +326,7 @@
 class NoUpdates(RateLimits):
     """Broken variant: routers ignore updates of other routers."""
 
-    def take_in(self, updates):
+    def merge(self, updates):
         """Ignore updates."""
 
 
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -29,7 +29,7 @@
             for router in self.routers:
                 for updates in messages:
                     # Updates do not account for the transit time.
-                    router.take_in(updates)
+                    router.merge(updates)
 
 
 @pytest.mark.parametrize("backoff_s", [0.0, 2.0])
@@ -103,5 +103,5 @@
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.gateways[0]._feedback_exchange.take_in([FeedbackUpdate("nobody@1", True, 5_000)])
+    harness.gateways[0]._feedback_exchange.merge([FeedbackUpdate("nobody@1", True, 5_000)])
     assert harness.ask().status == 200
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -209,12 +209,12 @@
 
 def test_newer_update_wins_in_any_order():
     router = RouterUnderTest()
-    router.limits.take_in([ToldLimit("e", 2.0, 1_000, "a", 70)])
-    router.limits.take_in([ToldLimit("e", 5.0, 3_000, "b", 70)])
+    router.limits.merge([ToldLimit("e", 2.0, 1_000, "a", 70)])
+    router.limits.merge([ToldLimit("e", 5.0, 3_000, "b", 70)])
     assert router.per_s == 2.0
-    router.limits.take_in([ToldLimit("e", None, 0, "a", 71)])
+    router.limits.merge([ToldLimit("e", None, 0, "a", 71)])
     assert router.per_s is None
-    router.limits.take_in([ToldLimit("e", 2.0, 500, "b", 71)])
+    router.limits.merge([ToldLimit("e", 2.0, 500, "b", 71)])
     assert router.per_s is None
 
 
@@ -222,19 +222,19 @@
     """Forwarded repeatedly, with a delay each time, it would never expire."""
     router = RouterUnderTest()
     update = ToldLimit("e", 2.0, 100, "a", 70)
-    router.limits.take_in([update])
+    router.limits.merge([update])
     router.now_s += 1.0
-    router.limits.take_in([update])
-    assert router.limits.told()[0].age_ms == 1_100
+    router.limits.merge([update])
+    assert router.limits.announced()[0].age_ms == 1_100
 
 
 def test_own_update_that_comes_back_is_ignored():
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
-    (own_update,) = router.limits.told()
+    (own_update,) = router.limits.announced()
     router.now_s += 1.0
-    router.limits.take_in([own_update])
-    assert router.limits.told()[0].age_ms == 1_000
+    router.limits.merge([own_update])
+    assert router.limits.announced()[0].age_ms == 1_000
 
 
 def test_response_to_an_earlier_request_does_not_lift_a_limit():
@@ -251,9 +251,9 @@
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
     router.now_s += 0.6
-    router.limits.take_in([ToldLimit("e", None, 300, "a", 70)])
+    router.limits.merge([ToldLimit("e", None, 300, "a", 70)])
     assert router.per_s == 2.0
-    router.limits.take_in([ToldLimit("e", None, 50, "a", 320)])
+    router.limits.merge([ToldLimit("e", None, 50, "a", 320)])
     assert router.per_s is None
 
 
@@ -262,7 +262,7 @@
     router.limits.name("e", 0.5)
     assert router.limits.opens_in_s("e") == 5.0 + 4.0 * 3 / 0.5
     router.now_s += 20.0
-    router.limits.take_in([ToldLimit("e", 0.5, 0, "a", 70)])
+    router.limits.merge([ToldLimit("e", 0.5, 0, "a", 70)])
     assert router.limits.opens_in_s("e") == 5.0 + 4.0 * 3 / 0.5
     router.now_s += 29.0
     assert router.limits.opens_in_s("e") == 0.0
@@ -273,14 +273,14 @@
 def test_old_limits_are_not_announced():
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
-    router.limits.take_in([ToldLimit("other", 2.0, 3_000, "a", 70)])
+    router.limits.merge([ToldLimit("other", 2.0, 3_000, "a", 70)])
     router.now_s += 1.0
-    assert router.limits.told() == (
+    assert router.limits.announced() == (
         ToldLimit("e", 2.0, 1_000, "me", 100_000),
         ToldLimit("other", 2.0, 4_000, "a", 70),
     )
     router.now_s += 1.0
-    assert router.limits.told() == ()
+    assert router.limits.announced() == ()
 
 
 def test_announced_limits_are_bounded_newest_first():
@@ -288,7 +288,7 @@
     for number in range(100):
         router.now_s += 0.01
         router.limits.name(f"e-{number}", 2.0)
-    updates = router.limits.told()
+    updates = router.limits.announced()
     assert len(updates) == 32
     assert updates[0].endpoint == "e-99"
 
--- a/turnward/gateway/tests/test_rollback_schedules.py
+++ b/turnward/gateway/tests/test_rollback_schedules.py
@@ -121,8 +121,8 @@
         """Exchange one round of messages."""
         first, second = self.routers
         if first is not None and second is not None:
-            first.updates.take_in(second.updates.told())
-            second.updates.take_in(first.updates.told())
+            first.updates.merge(second.updates.announced())
+            second.updates.merge(first.updates.announced())
 
     def step(self, action):
         if action[0] == "copy":
--- a/turnward/quarantine/quarantine.py
+++ b/turnward/quarantine/quarantine.py
@@ -279,7 +279,7 @@
         self._turn += 1
         return held[self._turn % len(held)]
 
-    def take_in(self, make_update: QuarantineUpdate) -> None:
+    def merge(self, make_update: QuarantineUpdate) -> None:
         """Take in what another router tells."""
         now_s = self._clock()
         for run in make_update.served:
--- a/turnward/quarantine/tests/test_quarantine.py
+++ b/turnward/quarantine/tests/test_quarantine.py
@@ -49,7 +49,7 @@
     def tell(self, *others):
         make_update = msgspec.msgpack.encode(self.quarantine.make_update())
         for other in others:
-            other.quarantine.take_in(msgspec.msgpack.decode(make_update, type=QuarantineUpdate))
+            other.quarantine.merge(msgspec.msgpack.decode(make_update, type=QuarantineUpdate))
 
 
 @pytest.fixture
@@ -175,7 +175,7 @@
         clock.now_s += 0.25
         make_update = routers[turn % 3].quarantine.make_update()
         clock.now_s += 0.02
-        routers[(turn + 1) % 3].quarantine.take_in(make_update)
+        routers[(turn + 1) % 3].quarantine.merge(make_update)
     left_s = RULE.hold_s - 400 * 0.27
     for router in routers:
         assert router.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.5)
