--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Watches a table of the store: reads it once, then follows its changes."""
+"""Feeds that read a table of the store once and then poll it for changes."""
 
 import random
 from abc import ABC, abstractmethod
@@ -29,41 +29,37 @@
     "PeerConfirmedPollSchedule",
 ]
 
-#: Pauses after failures in a row, in seconds; the last one repeats.
-_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.7)
-#: Longest that the store holds a question of a router that others need not learn from, in
-#: seconds. The answer to a change comes at once all the same; only silence takes longer to see.
-_LONG_WAIT_S = 8.0
-#: Seconds for which changes gather at a router that others learn from.
-_SHORT_REST_S = 0.1
-#: Longest that the store holds a question of a router that others learn from, in seconds, where
-#: its answer confirms to them that nothing has changed.
-_TELLING_WAIT_S = 1.0
-#: Age of others' word, in seconds, from which on a router asks the store itself. Less, and all ask
-#: while a change is on its way to them (1.5: each of 86 routers read the 0.6 MB; 2.0: the
-#: twelve aggregators); more, and a router that nobody tells is late.
-_TOLD_LIFE_S = 2.0
-#: Seconds between two looks whether a feed is still spared questions: its router may become one of
-#: those that others learn from.
-_SPARED_LOOK_S = 0.1
-#: Seconds without an answer after which routers that others learn from read the table again instead
-#: of all that changed in between, each version whole: eight of them after an outage of 6 s in
-#: which operators wrote. All others get copies; if each read again, that would be 0.6 MB a
-#: router after each outage, changed or not.
+#: Delays before a retry, by the number of consecutive failures; the last one repeats.
+_RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4, 0.7)
+#: Longest time that the store holds a poll of a router that publishes no updates. Changes are
+#: still returned at once; only an outage is noticed later.
+_LONG_POLL_S = 8.0
+#: Time for which a router that publishes updates batches changes.
+_PUBLISHER_DELAY_S = 0.1
+#: Longest time that the store holds a poll of a publishing router: the response confirms to the
+#: other routers that nothing has changed.
+_PUBLISHER_POLL_S = 1.0
+#: Age of the last confirmation above which a router polls the store itself. If this is too short,
+#: all routers poll the store while a change is still on its way to them.
+_CONFIRMATION_LIFETIME_S = 2.0
+#: Interval between checks whether polling is still suspended.
+_SUSPENSION_CHECK_S = 0.1
+#: Outage after which aggregators read the table again instead of every version written meanwhile.
+#: Other routers get copies from them, which spares the store many reads of the whole table.
 _REREAD_AFTER_S = 5.0
 
 
 class Reread(msgspec.Struct, frozen=True):
-    """A table that was read again, since the store could not tell what had changed in it.
+    """A table that was read again because the store could not list its changes.
 
     Attributes
     ----------
     cause : str
-        What the store answered to the question for changes.
+        The store's error response to the poll for changes.
     read_version : int
-        The store's version that the table was read as of.
+        Version of the store as of which the table was read.
     known_version : int
-        The version known afterwards; another one where what was read is not taken in.
+        Version known afterwards; it differs from ``read_version`` if the table was not adopted.
     """
 
     cause: str
@@ -72,134 +68,134 @@
 
 
 class FeedListenerBase(ABC):
-    """Takes in what a feed brings."""
+    """Receives the rows that a feed reads."""
 
     @property
     @abstractmethod
     def version(self) -> int:
-        """The store's version known; 0 asks for the whole table."""
+        """Latest known version of the table; with 0 the feed reads the whole table."""
 
-    def knows_before(self, version: int) -> bool:
-        """Tell whether something is believed here that was said in an earlier era of the store."""
+    def knows_earlier_era(self, version: int) -> bool:
+        """Return whether any state known here stems from an era before that of a version."""
         return False
 
     @abstractmethod
     def table_read(self, table: TableChanges) -> None:
-        """Take in the whole table."""
+        """Handle the whole table."""
 
     @abstractmethod
     def rows_changed(self, changes: TableChanges) -> None:
-        """Take in changed rows; removed ones are ``gone``."""
+        """Handle changed rows; removed ones are marked ``gone``."""
 
 
 class FeedPaceBase(ABC):
-    """Tells how often a feed asks the store."""
+    """Decides how often a feed polls the store."""
 
     @abstractmethod
-    def wait_s(self, usual_s: float) -> float:
-        """Return how long the store may hold a question."""
+    def hold_s(self, default_s: float) -> float:
+        """Return how long the store may hold a poll."""
 
     @abstractmethod
-    def rest_s(self) -> float:
-        """Return how long to wait after an answer that brought changes."""
+    def delay_s(self) -> float:
+        """Return how long to wait after a response that contained changes."""
 
     @property
-    def spared(self) -> bool:
-        """Whether no question is needed now."""
+    def suspended(self) -> bool:
+        """Whether polling is unnecessary at present."""
         return False
 
     @property
-    def reads_anew(self) -> bool:
-        """Whether the table is read again after a long time without answers."""
+    def rereads_after_outage(self) -> bool:
+        """Whether the whole table is read again after a long outage."""
         return False
 
 
 class ImmediatePollSchedule(FeedPaceBase):
-    """Asks again at once."""
+    """Polls again without delay."""
 
-    def wait_s(self, usual_s: float) -> float:
-        """See ``FeedPaceBase.wait_s``."""
-        return usual_s
+    def hold_s(self, default_s: float) -> float:
+        """See ``FeedPaceBase.hold_s``."""
+        return default_s
 
-    def rest_s(self) -> float:
-        """See ``FeedPaceBase.rest_s``."""
+    def delay_s(self) -> float:
+        """See ``FeedPaceBase.delay_s``."""
         return 0.0
 
 
 class FleetPollSchedule(FeedPaceBase):
-    """Asks seldom where other routers tell of what is new.
+    """Polls less often on routers that publish no updates.
 
-    In a fleet whose aggregators pass on which versions are newest, and who has them, a
-    router learns of a change from them within a second. It follows the table all the same,
-    as they may all be cut off, but need not be the first to know.
+    Aggregators announce the newest versions and which router has them, so other routers learn of a
+    change within a second. These still follow the table, since all aggregators may be
+    disconnected, but at longer intervals.
 
     Parameters
     ----------
     overlay : Overlay
-        Tells whether this router is one of those that others learn from.
-    rest_s : float
-        Seconds to wait after changes, for a router that others need not learn from.
+        Tells whether this router publishes updates to others.
+    delay_s : float
+        Time in seconds to wait after changes on a router that publishes no updates.
     """
 
-    def __init__(self, overlay: Overlay, rest_s: float):
+    def __init__(self, overlay: Overlay, delay_s: float):
         self._overlay = overlay
-        self._rest_s = rest_s
+        self._delay_s = delay_s
 
-    def wait_s(self, usual_s: float) -> float:
-        """See ``FeedPaceBase.wait_s``."""
-        return usual_s if self._overlay.publishes_updates else max(usual_s, _LONG_WAIT_S)
+    def hold_s(self, default_s: float) -> float:
+        """See ``FeedPaceBase.hold_s``."""
+        return default_s if self._overlay.publishes_updates else max(default_s, _LONG_POLL_S)
 
-    def rest_s(self) -> float:
-        """See ``FeedPaceBase.rest_s``."""
+    def delay_s(self) -> float:
+        """See ``FeedPaceBase.delay_s``."""
         if self._overlay.mesh:
             return 0.0
-        return _SHORT_REST_S if self._overlay.publishes_updates else self._rest_s
+        return _PUBLISHER_DELAY_S if self._overlay.publishes_updates else self._delay_s
 
 
 class PeerConfirmedPollSchedule(FleetPollSchedule):
-    """Asks only where others do not tell that what is known here is the newest.
+    """Polls only if no peer has confirmed lately that the known version is the newest.
 
-    For a table whose rows are large: 0.6 MB of configuration take a second of a link of
-    5 Mbit/s, and callers' requests wait behind them; an aggregator's copy is 33 KB.
+    Meant for a table with large rows, such as the configuration: reading it from the store occupies
+    a narrow link and delays requests, while the copies of aggregators are compressed.
 
     Parameters
     ----------
     overlay : Overlay
-        Tells whether this router is one of those that others learn from.
-    rest_s : float
+        Tells whether this router publishes updates to others.
+    delay_s : float
         As for ``FleetPollSchedule``.
     state : FleetState
-        Tells when what is known was last confirmed.
+        Tells when the known version was last confirmed.
     """
 
-    def __init__(self, overlay: Overlay, rest_s: float, state: FleetState):
-        super().__init__(overlay, rest_s)
+    def __init__(self, overlay: Overlay, delay_s: float, state: FleetState):
+        super().__init__(overlay, delay_s)
         self._state = state
 
-    def wait_s(self, usual_s: float) -> float:
-        """See ``FeedPaceBase.wait_s``; only an answer confirms what is known, also to others."""
-        return min(usual_s, _TELLING_WAIT_S) if self._has_members else usual_s
+    def hold_s(self, default_s: float) -> float:
+        """See ``FeedPaceBase.hold_s``; shorter on aggregators, as responses are confirmations."""
+        return min(default_s, _PUBLISHER_POLL_S) if self._is_aggregator else default_s
 
     @property
-    def spared(self) -> bool:
-        """See ``FeedPaceBase.spared``."""
+    def suspended(self) -> bool:
+        """See ``FeedPaceBase.suspended``."""
         if self._overlay.publishes_updates or not self._overlay.receives_updates:
             return False
-        return self._state.unconfirmed_for_s() < _TOLD_LIFE_S
+        return self._state.unconfirmed_for_s() < _CONFIRMATION_LIFETIME_S
 
     @property
-    def reads_anew(self) -> bool:
-        """See ``FeedPaceBase.reads_anew``; the others get copies of what has changed."""
-        return self._has_members
+    def rereads_after_outage(self) -> bool:
+        """See ``FeedPaceBase.rereads_after_outage``; other routers fetch copies from peers."""
+        return self._is_aggregator
 
     @property
-    def _has_members(self) -> bool:
-        """Whether this router is an aggregator, and not one of a fleet where all tell all."""
+    def _is_aggregator(self) -> bool:
+        """Whether this router is an aggregator in a fleet that is no full mesh."""
         return self._overlay.publishes_updates and not self._overlay.mesh
 
 
 class TableFeed:
-    """Follows one table.
+    """Reads one table and follows its changes.
 
     Parameters
     ----------
@@ -210,19 +206,19 @@
     table : str
         Name of the table.
     listener : FeedListenerBase
-        Told what comes.
-    wait_s : float
-        Longest that the store holds a question for changes.
-    draw : random.Random
-        Spreads pauses.
+        Receives the rows.
+    hold_s : float
+        Longest time in seconds that the store holds a poll for changes.
+    rng : random.Random
+        Source of the jitter of delays.
     on_health : callable
-        Called with True when the store answers, with False and the cause when not.
+        Called with True after a successful poll, with False and the cause after a failed one.
     on_answer : callable, optional
-        Called after each answer with the moment that it is known to be of.
-    pace : FeedPace, optional
-        How often the store is asked; looked at anew for each question.
+        Called after each response with the time in seconds as of which it is valid.
+    poll_schedule : FeedPaceBase, optional
+        Decides how often the store is polled; consulted before each poll.
     on_reread : callable, optional
-        Called with a ``Reread`` after the table was read again, once for each version known.
+        Called with a ``Reread`` after the table was read again, once per known version.
     """
 
     def __init__(
@@ -231,44 +227,44 @@
         store: VersionedStoreBase,
         table: str,
         listener: FeedListenerBase,
-        wait_s: float,
-        draw: random.Random,
+        hold_s: float,
+        rng: random.Random,
         on_health: Callable[..., None],
         on_answer: Callable[[float], None] | None = None,
-        pace: "FeedPaceBase | None" = None,
+        poll_schedule: "FeedPaceBase | None" = None,
         on_reread: Callable[[Reread], None] | None = None,
     ):
         self._reactor = clock_reactor
         self._store = store
         self._table = table
         self._listener = listener
-        self._wait_s = wait_s
-        self._draw = draw
+        self._hold_s = hold_s
+        self._rng = rng
         self._on_health = on_health
         self._on_answer = on_answer
-        self._pace = pace or ImmediatePollSchedule()
+        self._poll_schedule = poll_schedule or ImmediatePollSchedule()
         self._on_reread = on_reread
         self._reread_cause = ""
-        self._reread_told: Reread | None = None
+        self._reported_reread: Reread | None = None
         self._failures = 0
         self._answered_s = clock_reactor.seconds()
         self._answered_version = 0
-        self._reread = True
-        #: The era of the last answer, and when all that was lost before it is written anew.
+        self._needs_reread = True
+        #: Era of the last response, and when all rows lost in a rollback will have been rewritten.
         self._era: int | None = None
-        self._settles_s: float | None = None
-        self._gone_in_a_row = 0
+        self._rollback_ends_s: float | None = None
+        self._consecutive_history_gone = 0
         self._changed = False
         self._stopped = False
         self._running: defer.Deferred | None = None
 
     def start(self) -> None:
-        """Begin to follow the table."""
+        """Start following the table."""
         self._running = defer.ensureDeferred(self._run())
         self._running.addErrback(lambda failure: failure.trap(defer.CancelledError))
 
     def stop(self) -> None:
-        """Stop; nothing is told afterwards."""
+        """Stop; the listener is not called afterwards."""
         self._stopped = True
         if self._running is not None:
             self._running.cancel()
@@ -276,112 +272,121 @@
     async def _run(self) -> None:
         while not self._stopped:
             try:
-                await self._step()
+                await self._poll()
             except HistoryUnavailableError as failure:
-                self._reread = True
+                self._needs_reread = True
                 self._reread_cause = str(failure)
-                await self._pause_where_gone_again()
+                await self._pause_if_history_gone_again()
             except RowStoreError as failure:
                 await self._pause(failure)
             except Exception as failure:
-                # A fault in a listener must not end the feed for good.
+                # An error in a listener must not stop the feed.
                 if self._stopped:
                     return
-                self._reread = True
+                self._needs_reread = True
                 await self._pause(failure)
             else:
-                self._note_health()
-                await self._rest()
-
-    async def _rest(self) -> None:
-        """Let more changes gather, where others would tell of urgent ones."""
-        rest_s = self._pace.rest_s() if self._changed else 0.0
-        if rest_s > 0:
-            await task.deferLater(self._reactor, rest_s * self._draw.uniform(0.8, 1.2))
-        while self._pace.spared:
-            await task.deferLater(self._reactor, _SPARED_LOOK_S)
-
-    async def _step(self) -> None:
-        newest_s = self._reactor.seconds()
-        settles = self._settles_s is not None and newest_s >= self._settles_s
-        if self._reread or self._listener.version == 0 or self._missed_much() or settles:
-            await self._read_table(settles)
+                self._report_reachable()
+                await self._wait_before_next_poll()
+
+    async def _wait_before_next_poll(self) -> None:
+        """Batch changes, and wait while the schedule suspends polling."""
+        delay_s = self._poll_schedule.delay_s() if self._changed else 0.0
+        if delay_s > 0:
+            await task.deferLater(self._reactor, delay_s * self._rng.uniform(0.8, 1.2))
+        while self._poll_schedule.suspended:
+            await task.deferLater(self._reactor, _SUSPENSION_CHECK_S)
+
+    async def _poll(self) -> None:
+        as_of_s = self._reactor.seconds()
+        rollback_ended = self._rollback_ends_s is not None and as_of_s >= self._rollback_ends_s
+        if (
+            self._needs_reread
+            or self._listener.version == 0
+            or self._needs_reread_after_outage()
+            or rollback_ended
+        ):
+            await self._read_table(rollback_ended)
         else:
-            wait_s = self._pace.wait_s(self._wait_s)
-            if self._settles_s is not None:
-                wait_s = min(wait_s, self._settles_s - newest_s)
-            changes = await self._store.changes(self._table, self._listener.version, wait_s)
-            self._gone_in_a_row = 0
-            self._note_era(changes.version)
+            hold_s = self._poll_schedule.hold_s(self._hold_s)
+            if self._rollback_ends_s is not None:
+                hold_s = min(hold_s, self._rollback_ends_s - as_of_s)
+            changes = await self._store.changes(self._table, self._listener.version, hold_s)
+            self._consecutive_history_gone = 0
+            self._record_era(changes.version)
             self._changed = bool(changes.rows)
             self._listener.rows_changed(changes)
-            self._note_older(changes.version)
-            # The store held the question; its answer is of the moment at which it began to come.
-            # A router that counted from the end took a version for the newest that was seconds
-            # old, and answered 404 for routes which had been added since.
-            newest_s = self._reactor.seconds() if changes.as_of_s is None else changes.as_of_s
+            self._schedule_reread_if_earlier_era(changes.version)
+            # The response is valid as of when it began to arrive. Counted from its end, a version
+            # seconds old would pass for the newest, and newly added routes would get a 404.
+            as_of_s = self._reactor.seconds() if changes.as_of_s is None else changes.as_of_s
         self._answered_s = self._reactor.seconds()
         self._answered_version = self._listener.version
         if self._on_answer is not None:
-            self._on_answer(newest_s)
+            self._on_answer(as_of_s)
 
-    async def _read_table(self, settles: bool) -> None:
+    async def _read_table(self, rollback_ended: bool) -> None:
         table = await self._store.read_table(self._table)
-        self._note_era(table.version)
-        if settles:
-            self._settles_s = None
+        self._record_era(table.version)
+        if rollback_ended:
+            self._rollback_ends_s = None
         else:
-            self._note_older(table.version)
-        provisional = self._settles_s is not None
-        self._reread = False
+            self._schedule_reread_if_earlier_era(table.version)
+        provisional = self._rollback_ends_s is not None
+        self._needs_reread = False
         self._changed = True
         self._listener.table_read(msgspec.structs.replace(table, provisional=provisional))
-        self._tell_reread(table.version)
+        self._report_reread(table.version)
 
-    def _note_era(self, version: int) -> None:
-        """Read the table once more some seconds after the store came back from an older copy."""
+    def _record_era(self, version: int) -> None:
+        """Schedule a reread of the table some seconds after a rollback of the store."""
         era = RowVersion(version).era
         if self._era is not None and era > self._era:
-            self._settles_s = self._reactor.seconds() + REWRITE_PERIOD_S
+            self._rollback_ends_s = self._reactor.seconds() + REWRITE_PERIOD_S
         self._era = era
 
-    def _note_older(self, version: int) -> None:
-        """Read the table once more later where peers told of what was said in an earlier era."""
-        if self._settles_s is None and self._listener.knows_before(version):
-            self._settles_s = self._reactor.seconds() + REWRITE_PERIOD_S
-
-    async def _pause_where_gone_again(self) -> None:
-        """Wait where reading the table did not help: asked at once, the store has no rest."""
-        self._gone_in_a_row += 1
-        if self._gone_in_a_row > 1:
-            pause_s = _PAUSES_S[min(self._gone_in_a_row - 2, len(_PAUSES_S) - 1)]
-            await task.deferLater(self._reactor, pause_s * self._draw.uniform(0.7, 1.3))
-
-    def _tell_reread(self, read_version: int) -> None:
-        """Tell of a table that was read again; once, where each reading leaves the same known."""
+    def _schedule_reread_if_earlier_era(self, version: int) -> None:
+        """Schedule a reread of the table if state of an earlier era was received from peers."""
+        if self._rollback_ends_s is None and self._listener.knows_earlier_era(version):
+            self._rollback_ends_s = self._reactor.seconds() + REWRITE_PERIOD_S
+
+    async def _pause_if_history_gone_again(self) -> None:
+        """Back off if rereading the table did not help, so as not to overload the store."""
+        self._consecutive_history_gone += 1
+        if self._consecutive_history_gone > 1:
+            pause_s = _RETRY_DELAYS_S[
+                min(self._consecutive_history_gone - 2, len(_RETRY_DELAYS_S) - 1)
+            ]
+            await task.deferLater(self._reactor, pause_s * self._rng.uniform(0.7, 1.3))
+
+    def _report_reread(self, read_version: int) -> None:
+        """Report a reread table, once for as long as the known version stays the same."""
         cause, self._reread_cause = self._reread_cause, ""
         if not cause or self._on_reread is None:
             return
         reread = Reread(cause, read_version, self._listener.version)
-        told, self._reread_told = self._reread_told, reread
-        if told is None or told.known_version != reread.known_version:
+        reported, self._reported_reread = self._reported_reread, reread
+        if reported is None or reported.known_version != reread.known_version:
             self._on_reread(reread)
 
-    def _missed_much(self) -> bool:
-        """Tell whether many changes may have passed that nobody else told of either."""
-        blind_s = self._reactor.seconds() - self._answered_s
-        told = self._listener.version != self._answered_version
+    def _needs_reread_after_outage(self) -> bool:
+        """Return whether a long outage may have hidden changes that peers did not announce."""
+        unreachable_s = self._reactor.seconds() - self._answered_s
+        updated_by_peers = self._listener.version != self._answered_version
         return (
-            self._pace.reads_anew and self._failures > 0 and blind_s > _REREAD_AFTER_S and not told
+            self._poll_schedule.rereads_after_outage
+            and self._failures > 0
+            and unreachable_s > _REREAD_AFTER_S
+            and not updated_by_peers
         )
 
-    def _note_health(self) -> None:
+    def _report_reachable(self) -> None:
         if self._failures:
             self._failures = 0
         self._on_health(True)
 
     async def _pause(self, failure: Exception) -> None:
-        pause_s = _PAUSES_S[min(self._failures, len(_PAUSES_S) - 1)]
+        pause_s = _RETRY_DELAYS_S[min(self._failures, len(_RETRY_DELAYS_S) - 1)]
         self._failures += 1
         self._on_health(False, f"{type(failure).__name__}: {failure}")
-        await task.deferLater(self._reactor, pause_s * self._draw.uniform(0.7, 1.3))
+        await task.deferLater(self._reactor, pause_s * self._rng.uniform(0.7, 1.3))
--- a/turnward/gateway/table_listeners.py
+++ b/turnward/gateway/table_listeners.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Takes rows into what a process believes, in whatever form they are written."""
+"""Listeners that apply the rows of the store's tables to the state of a process."""
 
 from collections.abc import Callable, Collection
 
@@ -16,18 +16,18 @@
 
 
 class ConfigurationListener(FeedListenerBase):
-    """Follows the row that holds the configuration, and those that order zones to be drained.
+    """Applies the row with the configuration, and rows that order zones to be drained.
 
     Parameters
     ----------
     state : FleetState
-        Told of each version and order.
+        Adopts each version and order.
     key : str
         The configuration's key.
     zone_order_prefix : str
-        Begins the key of an order; the zone's name follows. Rows of other keys are passed over.
+        Prefix of the key of an order; the zone's name follows. Rows with other keys are ignored.
     decode : callable
-        Returns the configuration in a row's value; raises ``DecodeError`` or ``ValueError``.
+        Returns the configuration from a row's value; raises ``DecodeError`` or ``ValueError``.
     """
 
     def __init__(
@@ -45,16 +45,16 @@
 
     @property
     def version(self) -> int:
-        """See ``FeedListenerBase.version``; what others told need not be asked for again."""
+        """See ``FeedListenerBase.version``; includes versions received from peers."""
         return max(self._version, self._state.row_version)
 
-    def knows_before(self, version: int) -> bool:
-        """See ``FeedListenerBase.knows_before``."""
+    def knows_earlier_era(self, version: int) -> bool:
+        """See ``FeedListenerBase.knows_earlier_era``."""
         return self._state.zone_orders.has_orders_before(RowVersion(version).era)
 
     def table_read(self, table: TableChanges) -> None:
-        """See ``FeedListenerBase.table_read``; orders that are not there have ended."""
-        # Before the configuration, with which a router begins to serve.
+        """See ``FeedListenerBase.table_read``; orders without a row have ended."""
+        # Orders first: the router starts serving once it has a configuration.
         orders = self._orders_in(table)
         self._state.adopt_zone_order_table(orders, table.version, "store", table.provisional)
         self._adopt_configuration(table)
@@ -65,7 +65,7 @@
         self._adopt_configuration(changes)
 
     def _orders_in(self, changes: TableChanges) -> list[ZoneOrder]:
-        """Return the last word on each zone; a row is an order whatever its value says."""
+        """Return the latest order for each zone; the value of a row does not matter."""
         orders: dict[str, ZoneOrder] = {}
         for row in changes.rows:
             prefix, zone = self._zone_order_prefix, row.key.key
@@ -74,7 +74,7 @@
             zone = zone[len(prefix) :]
             if not zone:
                 self._state.unreadable_rows.mark_unreadable(
-                    row, ValueError("an order names no zone")
+                    row, ValueError("drain order without a zone name in its key")
                 )
                 continue
             orders[zone] = ZoneOrder.at(zone, row.version or changes.version, not row.gone)
@@ -95,14 +95,14 @@
 
 
 class EndpointsListener(FeedListenerBase):
-    """Follows the endpoints' rows; one that can't be read counts as gone.
+    """Applies the endpoints' rows; a row that cannot be decoded counts as removed.
 
     Parameters
     ----------
     state : FleetState
-        Told of each change.
+        Adopts each change.
     decode : callable
-        Returns the entry in a row; raises ``DecodeError`` or ``ValueError``.
+        Returns the entry from a row; raises ``DecodeError`` or ``ValueError``.
     """
 
     def __init__(self, state: FleetState, decode: Callable[[StoredRow], EndpointEntry]):
@@ -114,8 +114,8 @@
         """See ``FeedListenerBase.version``."""
         return self._state.endpoints_version
 
-    def knows_before(self, version: int) -> bool:
-        """See ``FeedListenerBase.knows_before``."""
+    def knows_earlier_era(self, version: int) -> bool:
+        """See ``FeedListenerBase.knows_earlier_era``."""
         known = self._state.endpoints_version
         return known > 0 and known.era < RowVersion(version).era
 
@@ -144,10 +144,10 @@
         self._state.adopt_endpoints(snapshot, "store", written, authoritative)
 
     def _read(self, row: StoredRow) -> EndpointEntry | None:
-        """Return the entry in a row, None when it is gone or can't be read.
+        """Return the entry in a row, None if it was removed or cannot be decoded.
 
-        Another writer may have put it there, over a good one too: it names no endpoint until its
-        own process writes it anew, at the next heartbeat.
+        Another writer may have overwritten a valid entry; the endpoint's own process restores it
+        with its next heartbeat.
         """
         unreadable_rows = self._state.unreadable_rows
         if row.gone:
@@ -163,14 +163,14 @@
 
 
 class MembersListener(FeedListenerBase):
-    """Learns peers' addresses from their rows.
+    """Adds peers to the peer book from their rows.
 
     Parameters
     ----------
     book : PeerBook
-        Told of each member.
+        Gets each member added.
     unreadable_rows : UnreadableRows
-        Told of rows that can't be read.
+        Records rows that cannot be decoded.
     """
 
     def __init__(self, book: PeerBook, unreadable_rows: UnreadableRows):
--- a/turnward/gateway/tests/test_feeds.py
+++ b/turnward/gateway/tests/test_feeds.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a feed asks the store after an outage, and what it is spared by others' word."""
+"""Requests of a feed after an outage, and while peers confirm its version."""
 
 import random
 
@@ -11,30 +11,30 @@
 from turnward.rows import RowsUnavailableError, TableChanges
 
 STEP_S = 0.05
-WAIT_S = 1.0
+HOLD_S = 1.0
 
 
 class Listener(FeedListenerBase):
-    """Knows a version."""
+    """Listener that records the latest version."""
 
-    known = 0
+    known_version = 0
 
     @property
     def version(self):
-        return self.known
+        return self.known_version
 
     def table_read(self, table):
-        self.known = table.version
+        self.known_version = table.version
 
     rows_changed = table_read
 
 
 class Store:
-    """Notes what it is asked; answers after a moment, or fails while it is away."""
+    """Records requests; responds after a delay, or fails while it is unavailable."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.asked = []
+        self.requests = []
         self.answered = []
         self.unavailable = False
         self.version = 5
@@ -45,17 +45,17 @@
     async def changes(self, table, after_version, wait_s):
         return await self._answer(after_version)
 
-    async def _answer(self, what):
-        self.asked.append(what)
+    async def _answer(self, request):
+        self.requests.append(request)
         await task.deferLater(self.clock, STEP_S)
         if self.unavailable:
-            raise RowsUnavailableError("away")
-        self.answered.append(what)
+            raise RowsUnavailableError("store unavailable")
+        self.answered.append(request)
         return TableChanges((), self.version)
 
 
 class Overlay:
-    """One router's place in the exchange."""
+    """Role of the router in the overlay."""
 
     mesh = False
     publishes_updates = False
@@ -63,7 +63,7 @@
 
 
 class Harness:
-    """A feed on a fake clock."""
+    """Runs a feed on a fake clock."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -76,10 +76,10 @@
             self.store,
             "table",
             self.listener,
-            WAIT_S,
+            HOLD_S,
             random.Random(1),
             lambda *_: None,
-            pace=PeerConfirmedPollSchedule(self.overlay, 0.0, self.state),
+            poll_schedule=PeerConfirmedPollSchedule(self.overlay, 0.0, self.state),
         )
 
     def start(self):
@@ -87,34 +87,34 @@
         self.run(1.0)
         return self
 
-    def confirmed_by_others(self):
-        """Let others confirm what is known; the question under way comes to its end."""
+    def after_confirmation(self):
+        """Let peers confirm the known version, and let the current poll end."""
         self.state.confirm()
         self.run(0.3)
-        self.store.asked.clear()
+        self.store.requests.clear()
         return self
 
-    def run(self, for_s):
-        for _ in range(round(for_s / STEP_S)):
+    def run(self, duration_s):
+        for _ in range(round(duration_s / STEP_S)):
             self.clock.advance(STEP_S)
 
 
 @pytest.mark.parametrize(
-    ("away_s", "publishes_updates", "question"),
+    ("outage_s", "publishes_updates", "first_request"),
     [(2.0, True, 5), (8.0, True, "table"), (8.0, False, 5)],
 )
 def test_publishing_routers_reread_the_table_after_a_long_outage(
-    away_s, publishes_updates, question
+    outage_s, publishes_updates, first_request
 ):
-    """It is 0.6 MB even if nothing changed: 603 KB at each of 40 routers, now at six of them."""
+    """The table is large; routers that publish no updates fetch copies from peers instead."""
     harness = Harness().start()
     harness.overlay.publishes_updates = publishes_updates
     harness.store.unavailable = True
-    harness.run(away_s)
+    harness.run(outage_s)
     harness.store.answered.clear()
     harness.store.unavailable = False
     harness.run(2.0)
-    assert harness.store.answered[0] == question
+    assert harness.store.answered[0] == first_request
 
 
 def test_feed_resumes_from_the_version_of_its_peers_after_a_long_outage():
@@ -122,7 +122,7 @@
     harness.overlay.publishes_updates = True
     harness.store.unavailable = True
     harness.run(8.0)
-    harness.listener.known = 9
+    harness.listener.known_version = 9
     harness.store.version = 9
     harness.run(2.0)
     harness.store.answered.clear()
@@ -132,31 +132,31 @@
 
 
 def test_feed_does_not_poll_while_peers_confirm_its_version():
-    harness = Harness().start().confirmed_by_others()
+    harness = Harness().start().after_confirmation()
     for _ in range(20):
         harness.state.confirm()
         harness.run(0.5)
-    assert not harness.store.asked
+    assert not harness.store.requests
     harness.run(3.0)
-    assert harness.store.asked
+    assert harness.store.requests
 
 
 def test_feed_polls_when_its_router_becomes_a_publisher():
-    harness = Harness().start().confirmed_by_others()
+    harness = Harness().start().after_confirmation()
     harness.overlay.publishes_updates = True
     harness.run(0.5)
-    assert harness.store.asked
+    assert harness.store.requests
 
 
 def test_feed_polls_when_its_router_receives_no_updates():
-    harness = Harness().start().confirmed_by_others()
+    harness = Harness().start().after_confirmation()
     harness.overlay.receives_updates = False
     harness.run(0.5)
-    assert harness.store.asked
+    assert harness.store.requests
 
 
 def test_feed_can_be_stopped_while_it_does_not_poll():
-    harness = Harness().start().confirmed_by_others()
+    harness = Harness().start().after_confirmation()
     harness.feed.stop()
     harness.run(5.0)
-    assert not harness.store.asked
+    assert not harness.store.requests
