--- a/turnward/gateway/member_ranks.py
+++ b/turnward/gateway/member_ranks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""In which order the members of the fleet come for a key, the same at all routers."""
+"""Ranking of the members of the fleet for a key, the same on all routers."""
 
 from turnward.gateway.peer_book import PeerBook
 from turnward.hashing import rendezvous_weight
@@ -8,10 +8,10 @@
 
 
 class MemberRanks:
-    """This router's rank among the members, by rendezvous hashing, for each key.
+    """This router's rank among the members for each key, by rendezvous hashing.
 
-    Routers that know the same members agree without a word; a member that is silent keeps its
-    rank, so that a cut gives nobody a better one.
+    Routers that know the same members agree without communication. A silent member keeps its rank,
+    so that a network partition improves nobody's rank.
 
     Parameters
     ----------
@@ -26,16 +26,16 @@
 
     @property
     def members(self) -> int:
-        """How many routers may exist."""
+        """Upper bound of the number of routers."""
         return self._book.max_router_count
 
     @property
     def known(self) -> bool:
-        """Whether the members' table was read, so that ranks mean something."""
+        """Whether the members' table has been read, without which ranks are not valid."""
         return self._book.members_read
 
     def rank_for(self, key: str) -> int:
-        """Return how many members come before this router for a key."""
+        """Return how many members rank before this router for a key."""
         if self._ranked_version != self._book.membership_version:
             self._ranked_version = self._book.membership_version
             self._ranks = {}
--- a/turnward/gateway/members.py
+++ b/turnward/gateway/members.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The table in which routers find each other: a row for each node."""
+"""The members' table, in which routers discover each other; it has a row for each node."""
 
 import msgspec
 
@@ -11,16 +11,16 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """What a router writes of itself.
+    """Row of a router in the members' table.
 
     Attributes
     ----------
     address : str
-        ``IP:port`` at which peers reach it.
+        ``IP:port`` at which peers reach the router.
     zone : str
-        Its availability zone.
+        Availability zone of the router.
     link_mbit_per_s : float
-        Width of its machine's link; 0 when its settings do not tell.
+        Bandwidth of the machine's network link; 0 if the settings do not contain it.
     """
 
     address: str
@@ -34,14 +34,14 @@
 
 
 def decode_member(value: bytes) -> Member:
-    """Return the member that a row tells of.
+    """Return the member from the value of a row.
 
     Raises
     ------
     msgspec.DecodeError
-        The row is no member's.
+        The value does not encode a member.
     ValueError
-        Its address is none.
+        The address is not ``IP:port``.
 
     Examples
     --------
@@ -50,5 +50,5 @@
     """
     member = msgspec.json.decode(value, type=Member)
     if parse_address(member.address) is None:
-        raise ValueError(f"{member.address!r} is no IP:port")
+        raise ValueError(f"member address {member.address!r} is not IP:port")
     return member
--- a/turnward/gateway/overlay.py
+++ b/turnward/gateway/overlay.py
@@ -243,7 +243,7 @@
             # The sum holds what this router told of itself.
             told = loads.get(own.endpoint)
             if told is not None:
-                loads[own.endpoint] = told.without(own)
+                loads[own.endpoint] = told.subtract(own)
         return loads
 
     @property
--- a/turnward/gateway/packing.py
+++ b/turnward/gateway/packing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""State in few bytes, as routers pass it on to each other."""
+"""Compressed encoding of the state that routers fetch from each other."""
 
 import zlib
 from collections.abc import Hashable
@@ -7,29 +7,28 @@
 
 import msgspec
 
-__all__ = ["PackedOnce", "pack", "unpack"]
+__all__ = ["PackedCache", "pack", "unpack"]
 
 T = TypeVar("T")
 
-#: Fast compression: of 1,935 routes 407 KB become 33 KB in 1.6 ms; level 6 takes twice as long
-#: for 30 KB.
+#: The fastest level of zlib; higher ones save little more.
 _COMPRESSION = 1
-#: Largest state that is unpacked, in bytes: a hundred times a configuration of 1,935 routes.
+#: Bounds the memory that a compressed message can occupy.
 _UNPACKED_LIMIT_BYTES = 64 * 1024 * 1024
 
 
 def pack(state: msgspec.Struct) -> bytes:
-    """Return a message in few bytes."""
+    """Return a state, encoded and compressed."""
     return zlib.compress(msgspec.msgpack.encode(state), _COMPRESSION)
 
 
 def unpack(packed: bytes, layout: type[T]) -> T:
-    """Return the message that ``pack`` packed.
+    """Return the state that ``pack`` has encoded.
 
     Raises
     ------
     msgspec.DecodeError
-        The bytes are no such message.
+        The bytes are not a compressed state of this type.
 
     Examples
     --------
@@ -40,12 +39,12 @@
     try:
         body = unpacker.decompress(packed, _UNPACKED_LIMIT_BYTES)
     except zlib.error as failure:
-        raise msgspec.DecodeError(f"not compressed: {failure}") from failure
+        raise msgspec.DecodeError(f"state is not zlib-compressed: {failure}") from failure
     return msgspec.msgpack.decode(body, type=layout)
 
 
-class PackedOnce:
-    """Keeps the packed form of one version of a state."""
+class PackedCache:
+    """Caches the packed form of the latest version of a state."""
 
     __slots__ = ("_packed", "_version")
 
@@ -54,7 +53,7 @@
         self._packed = b""
 
     def get(self, version: Hashable, state: msgspec.Struct) -> bytes:
-        """Return the state packed; packed again only when the version is another."""
+        """Return the packed state; it is packed again only if the version differs."""
         if self._version != version:
             self._packed = pack(state)
             self._version = version
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one router knows of the others: who they are, and what they last told."""
+"""The peers known to a router, and the latest digest received from each."""
 
 from collections.abc import Callable, Iterable
 
@@ -23,29 +23,29 @@
     "sum_loads",
 ]
 
-#: Seconds after which a silent peer's load no longer counts.
+#: Time after which the load of a silent peer no longer counts.
 _LOAD_LIFE_S = 1.0
-#: Seconds after which a silent peer is no longer taken for live.
+#: Time after which a silent peer no longer counts as live.
 _LIFE_S = 2.5
-#: Version of the layout of what routers tell each other; it rises with a change that is more than
-#: further fields at the end.
+#: Layout version of the messages between routers; incremented at each change other than appending
+#: fields.
 DIGEST_LAYOUT = 6
-#: Oldest layout that is read, and spoken to routers that know no later one: since then fields were
-#: only added at the end, which an older reader passes over and a newer one gives their defaults.
+#: Oldest supported layout. Later ones only append fields, which older readers ignore and for which
+#: newer readers use defaults.
 OLDEST_DIGEST_LAYOUT = 4
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one router has in flight at an endpoint, and how fast its streams go on there.
+    """Requests in flight from one router at an endpoint, and the speed of their streams.
 
     Attributes
     ----------
     endpoint : str
-        The incarnation: load at an earlier start of an endpoint is none at the next.
+        Incarnation of the endpoint; load does not carry over to its next start.
     quiet_gap_ms : float
-        Between two events of a stream when nothing holds them up; 0: not known.
+        Time between two events of a stream while no prompt is processed; 0 if not known.
     held_up_gap_ms : float
-        Between two events that a prompt holds up which is read there; 0: not known.
+        Time between two events of a stream that a prompt being processed delays; 0 if not known.
     """
 
     endpoint: str
@@ -54,12 +54,12 @@
     quiet_gap_ms: float = 0.0
     held_up_gap_ms: float = 0.0
 
-    def with_another(self, other: "EndpointLoad") -> "EndpointLoad":
-        """Return the sum of two routers' loads; the longer of their times between events.
+    def add(self, other: "EndpointLoad") -> "EndpointLoad":
+        """Return the sum of two loads, with the longer of their times between events.
 
         Examples
         --------
-        >>> both = EndpointLoad("e", 1, 10, 20.0).with_another(EndpointLoad("e", 2, 5, 30.0))
+        >>> both = EndpointLoad("e", 1, 10, 20.0).add(EndpointLoad("e", 2, 5, 30.0))
         >>> both.requests, both.prefill_tokens, both.quiet_gap_ms
         (3, 15, 30.0)
         """
@@ -71,13 +71,13 @@
             max(self.held_up_gap_ms, other.held_up_gap_ms),
         )
 
-    def without(self, other: "EndpointLoad") -> "EndpointLoad":
-        """Return a sum of loads less one that it holds; never below 0.
+    def subtract(self, other: "EndpointLoad") -> "EndpointLoad":
+        """Return a sum of loads minus one of its terms, never below 0.
 
         Examples
         --------
-        >>> rest = EndpointLoad("e", 3, 10).without(EndpointLoad("e", 1, 15))
-        >>> rest.requests, rest.prefill_tokens
+        >>> remaining = EndpointLoad("e", 3, 10).subtract(EndpointLoad("e", 1, 15))
+        >>> remaining.requests, remaining.prefill_tokens
         (2, 0)
         """
         return msgspec.structs.replace(
@@ -88,32 +88,31 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """What a router tells its peers of itself.
+    """Message in which a router announces its own state to peers.
 
     Attributes
     ----------
     endpoints_version, endpoints_era : int
-        Number and era of the store's version that the endpoints are as of, as it knows them; a
-        build that knows no eras tells 0, which is older than any that is named.
+        Number and era of the store's version as of which the router knows the endpoints. Versions
+        of this software without eras send era 0, which is older than any other.
     confirmed_age_s : float
-        How long ago the store said that the configuration is the newest; below
-        0 when it never did.
+        Time since the store confirmed the configuration as the newest; negative if it never did.
     short : bool
-        It may soon want to borrow tokens: peers tell what they can spare.
-    spare : tuple of Spare
-        What it can lend; told only while some router is short.
+        Whether the router may soon need to borrow tokens; its peers then announce loan offers.
+    spare : tuple of LoanOffer
+        Tokens that the router can lend; announced only while some router is ``short``.
     link_mbit_per_s : float
-        Width of its machine's link; 0 when its settings do not tell.
+        Bandwidth of the machine's network link; 0 if not configured.
     zone_orders : tuple of ZoneOrder or None
-        Which zones operators want drained; None when it does not know.
+        Zones that operators want drained; None if not known.
     quarantine : QuarantineUpdate
-        Runs that were lost with their endpoints, as far as it knows.
+        Runs known to have ended in a crash of their endpoint.
     words : tuple of FeedbackUpdate
-        Which endpoints leave or want rest, as it was told lately.
+        Feedback of endpoints, such as draining or backoff, received lately.
     limits : tuple of ToldLimit
-        The rates that endpoints named lately, as far as it knows.
+        Rate limits that endpoints announced lately.
     accounts : tuple of AccountUpdate
-        What the rows of workspaces' tokens say that it has written lately.
+        Contents of the rows of workspaces' tokens that the router has written lately.
     """
 
     layout: int
@@ -138,44 +137,46 @@
 
     @property
     def endpoints_as_of(self) -> RowVersion:
-        """The store's version that the endpoints are as of."""
+        """Version of the store as of which the endpoints are known."""
         return RowVersion.of(self.endpoints_era, self.endpoints_version)
 
 
 class Peer:
-    """One peer as last heard."""
+    """A peer, and the latest digest received from it."""
 
-    __slots__ = ("address", "digest", "received_s", "link_mbit_per_s", "member", "zone")
+    __slots__ = ("address", "digest", "received_s", "link_mbit_per_s", "is_member", "zone")
 
     def __init__(self, address: str):
         self.address = address
         self.digest: Digest | None = None
         self.received_s: float | None = None
-        self.member = False
+        self.is_member = False
         self.zone = ""
         self.link_mbit_per_s = 0.0
 
 
 class PeerBook:
-    """The peers known, by address.
+    """Registry of the known peers, by address.
 
-    A peer is a member once the members' table names it or a digest of it came; an address
-    that is only a seed may be stale. Members stay members: none is lost to a digest that
-    did not come, so what is shared out by their number is never shared among too few.
+    A peer is a member once the members' table lists it or a digest of it has been received; the
+    address of a mere seed may be stale. Members are never removed, so a lost digest cannot reduce
+    their number and thereby raise each router's share of a limit.
 
     Parameters
     ----------
     own_address : str
-        Never listed.
+        Address of this router, which is never listed.
+    clock : callable
+        Steady clock in seconds.
 
     Attributes
     ----------
     membership_version : int
-        Rises when a member is added, or told of with another width of its link.
+        Incremented when a member is added or the bandwidth of its link changes.
     last_member_added_s : float
-        When the last member was added.
+        Time at which the last member was added.
     members_read : bool
-        Whether the members' table was read.
+        Whether the members' table has been read.
     """
 
     def __init__(self, own_address: str, clock: Callable[[], float]):
@@ -188,12 +189,12 @@
         self.members_read = False
 
     def add(self, address: str) -> None:
-        """Take in an address at which a peer may listen."""
+        """Add an address at which a peer may listen."""
         if address != self.own_address and address not in self._peers:
             self._peers[address] = Peer(address)
 
     def add_member(self, address: str, zone: str, link_mbit_per_s: float = 0.0) -> None:
-        """Take in a peer that the members' table names, or that was heard."""
+        """Add or update a peer from the members' table or from a digest."""
         self.add(address)
         peer = self._peers.get(address)
         if peer is None:
@@ -202,14 +203,14 @@
         if peer.link_mbit_per_s != link_mbit_per_s:
             peer.link_mbit_per_s = link_mbit_per_s
             self.membership_version += 1
-        if not peer.member:
-            peer.member = True
+        if not peer.is_member:
+            peer.is_member = True
             self._member_count += 1
             self.membership_version += 1
             self.last_member_added_s = self._clock()
 
-    def hear(self, digest: Digest) -> Peer | None:
-        """Take in a digest; return its sender unless that is this router."""
+    def receive(self, digest: Digest) -> Peer | None:
+        """Record a digest; return its sender, None if that is this router."""
         if digest.address == self.own_address:
             return None
         self.add_member(digest.address, digest.zone, digest.link_mbit_per_s)
@@ -219,7 +220,7 @@
         return peer
 
     def knows(self, address: str) -> bool:
-        """Tell whether a peer may listen at an address."""
+        """Return whether a peer may listen at an address."""
         return address in self._peers
 
     def get(self, address: str) -> Peer | None:
@@ -228,52 +229,52 @@
 
     @property
     def addresses(self) -> list[str]:
-        """Addresses of all peers known."""
+        """Addresses of all known peers."""
         return list(self._peers)
 
     @property
     def members(self) -> list[Peer]:
-        """Return the peers that are members."""
-        return [peer for peer in self._peers.values() if peer.member]
+        """The peers that are members."""
+        return [peer for peer in self._peers.values() if peer.is_member]
 
     @property
     def max_router_count(self) -> int:
-        """The most routers that may live, this one among them."""
+        """Upper bound of the number of live routers, including this one."""
         return 1 + self._member_count
 
     @property
     def live_count(self) -> int:
-        """Peers heard lately."""
+        """Number of peers from which a digest was received lately."""
         return len(self.live())
 
     def live(self) -> list[Peer]:
-        """Return the peers heard lately."""
+        """Return the peers from which a digest was received lately."""
         since_s = self._clock() - _LIFE_S
         return [peer for peer in self._peers.values() if (peer.received_s or -1e9) >= since_s]
 
     def loads(self) -> dict[str, EndpointLoad]:
-        """Return what all peers together have in flight, by endpoint."""
+        """Return the sum of the loads of all peers, by endpoint."""
         since_s = self._clock() - _LOAD_LIFE_S
-        fresh = [
+        recent_loads = [
             peer.digest.loads
             for peer in self._peers.values()
             if peer.digest is not None and peer.received_s >= since_s
         ]
-        return {load.endpoint: load for load in sum_loads(fresh)}
+        return {load.endpoint: load for load in sum_loads(recent_loads)}
 
 
-def sum_loads(many: Iterable[Iterable[EndpointLoad]]) -> tuple[EndpointLoad, ...]:
-    """Return the sums by endpoint of several routers' loads.
+def sum_loads(loads_by_router: Iterable[Iterable[EndpointLoad]]) -> tuple[EndpointLoad, ...]:
+    """Return the sum of the loads of several routers, by endpoint.
 
     Examples
     --------
-    >>> one, two = EndpointLoad("e", 1, 10), EndpointLoad("e", 2, 5)
-    >>> [load.requests for load in sum_loads([[one], [two]])]
+    >>> first, second = EndpointLoad("e", 1, 10), EndpointLoad("e", 2, 5)
+    >>> [load.requests for load in sum_loads([[first], [second]])]
     [3]
     """
     totals: dict[str, EndpointLoad] = {}
-    for loads in many:
+    for loads in loads_by_router:
         for load in loads:
-            before = totals.get(load.endpoint)
-            totals[load.endpoint] = load if before is None else before.with_another(load)
+            total = totals.get(load.endpoint)
+            totals[load.endpoint] = load if total is None else total.add(load)
     return tuple(totals.values())
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -23,7 +23,7 @@
     LoanReturn,
 )
 from turnward.gateway.overlay import FleetSummary, Overlay
-from turnward.gateway.packing import PackedOnce, unpack
+from turnward.gateway.packing import PackedCache, unpack
 from turnward.gateway.peer_book import DIGEST_LAYOUT, OLDEST_DIGEST_LAYOUT, Digest, PeerBook
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.state import EndpointsSnapshot, FleetState
@@ -168,8 +168,8 @@
         self._log = log
         self._fetching: set[bytes] = set()
         self._wanted: dict[bytes, int] = {}
-        self._configuration = PackedOnce()
-        self._endpoints = PackedOnce()
+        self._configuration = PackedCache()
+        self._endpoints = PackedCache()
         self.overlay = Overlay(book, identity.zone, reactor.seconds, identity.link_mbit_per_s)
         self._seen_live: set[str] = set()
         self._callers: dict[str, HttpCaller] = {}
@@ -282,7 +282,7 @@
         if starts or before.digest.incarnation != digest.incarnation:
             # It can't know what rows said that the store may have lost.
             self._accounts.updates.announce_all()
-        peer = self._book.hear(digest)
+        peer = self._book.receive(digest)
         if peer is None:
             return
         self.overlay.hear_digest(digest)
--- a/turnward/gateway/tests/test_overlay.py
+++ b/turnward/gateway/tests/test_overlay.py
@@ -50,7 +50,7 @@
         if isinstance(message, FleetSummary):
             self.overlay.hear_summary(message)
         else:
-            self.book.hear(message)
+            self.book.receive(message)
             self.overlay.hear_digest(message)
 
     def others_loads(self):
