--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What routers tell each other: versions known, and requests in flight.
+"""Exchange of state among routers: digests by UDP, configuration and endpoints over TCP.
 
-A digest goes out by datagram a few times a second. Who hears of a newer
-version than its own fetches the state itself over TCP. So a router that the
-store turns away learns what the others know.
+Routers send digests a few times a second. A router that receives a newer version than its own
+fetches that state from a peer, so it stays current even if it cannot reach the store.
 """
 
 import random
@@ -33,37 +32,37 @@
 
 __all__ = ["PeerDatagramProtocol", "PeerSynchronizer"]
 
-#: Seconds between two digests.
+#: Interval between two digests.
 _PERIOD_S = 0.25
-#: Seconds after which something is told that can't wait for the next round.
-_SOON_S = 0.02
-#: Most endpoints whose load one digest tells, so that it fits a datagram.
-_LOADS_LIMIT = 48
-#: Most workspaces whose spare tokens one digest tells.
-_SPARE_LIMIT = 24
-#: Seconds for which a router that was short keeps its peers telling what they can spare.
-_SHORT_LIFE_S = 1.5
-
-#: Seconds until a peer's state begins to come, and the longest pause in it.
+#: Delay of an announcement that cannot wait for the next interval.
+_PROMPT_DELAY_S = 0.02
+#: Most endpoint loads in one digest, so that it fits a datagram.
+_MAX_LOADS = 48
+#: Most loan offers in one digest.
+_MAX_LOAN_OFFERS = 24
+#: Time for which peers keep announcing loan offers after a router was short of tokens.
+_SHORTAGE_LIFETIME_S = 1.5
+
+#: Timeout for the start of a peer's state, and for each pause during its transfer.
 _STATE_TIMEOUT_S = 1.0
 
-#: Machines remembered that send what can't be read.
-_REFUSED_LIMIT = 1_000
+#: Most hosts remembered for sending messages that cannot be decoded.
+_MAX_REJECTED_HOSTS = 1_000
 
 CONFIGURATION_PATH = b"/state/configuration/packed"
 ENDPOINTS_PATH = b"/state/endpoints/packed"
 
 
 class PeerDatagramProtocol(DatagramProtocol):
-    """Sends and receives digests.
+    """Sends and receives digests and summaries as datagrams.
 
     Parameters
     ----------
     on_message : callable
-        Told each message that can be read.
-    on_refused : callable
-        Told the sender's IP number, and the layout, of each message that can't; None for bytes
-        that are no message.
+        Called with each decoded message.
+    on_rejected : callable
+        Called with the sender's IP address and the layout of each message that is not supported;
+        the layout is None for bytes that cannot be decoded.
     """
 
     noisy = False
@@ -71,16 +70,16 @@
     def __init__(
         self,
         on_message: Callable[[Digest | FleetSummary], None],
-        on_refused: Callable[[str, int | None], None],
+        on_rejected: Callable[[str, int | None], None],
     ):
         self._on_message = on_message
-        self._on_refused = on_refused
-        #: Layouts that are read.
+        self._on_rejected = on_rejected
+        #: Supported layouts.
         self.layouts = range(OLDEST_DIGEST_LAYOUT, DIGEST_LAYOUT + 1)
         self._decoder = msgspec.msgpack.Decoder(Digest | FleetSummary)
 
     def send(self, data: bytes, address: str) -> None:
-        """Send a datagram; one that can't be sent is lost."""
+        """Send a datagram; on an error it is dropped."""
         if self.transport is None:
             return
         host, _, port = address.rpartition(":")
@@ -90,22 +89,22 @@
             return
 
     def datagramReceived(self, datagram, addr):
-        """Take in a message."""
+        """Decode a message and pass it on."""
         try:
             message = self._decoder.decode(datagram)
         except (msgspec.DecodeError, ValueError):
-            self._on_refused(addr[0], None)
+            self._on_rejected(addr[0], None)
             return
         if message.layout in self.layouts:
             self._on_message(message)
         else:
-            self._on_refused(addr[0], message.layout)
+            self._on_rejected(addr[0], message.layout)
 
 
 def _encode(message: Digest | FleetSummary, layout: int) -> bytes:
-    """Return a message for a peer that speaks a layout.
+    """Return a message encoded in the layout of its recipient.
 
-    Routers of an older build pass over all messages of a layout that they don't know.
+    Older versions of this software drop all messages of a layout that they do not know.
     """
     if message.layout != layout:
         message = msgspec.structs.replace(message, layout=layout)
@@ -113,32 +112,32 @@
 
 
 class PeerSynchronizer:
-    """Keeps this router and its peers in step.
+    """Keeps the state of this router and its peers synchronized.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     identity : Digest
-        This router's name and address; its other fields are filled in.
+        This router's name and address; the other fields are filled in for each digest.
     state : FleetState
-        What is known here.
+        State of the fleet as known to this router.
     book : PeerBook
-        The peers.
+        The known peers.
     loads : callable
         Returns this router's own ``EndpointLoad`` list.
     accounts : PrepaidAccounts
-        Tells whether tokens are short here and what can be spared, and lends.
+        Reports a shortage of tokens and loan offers, and grants loans.
     quarantine : Quarantine
-        What it suspects is told, and it takes in what others suspect.
-    word_news : FeedbackExchange
-        What endpoints said here is told, and it takes in what they said to others.
+        Its updates are announced, and those of peers are merged into it.
+    feedback : FeedbackExchange
+        Endpoints' feedback; announced and merged likewise.
     limits : RateLimits
-        The rates that endpoints named here are told, and it takes in what they named to others.
+        Endpoints' rate limits; announced and merged likewise.
     log : GatewayLog
-        Told of what is fetched.
-    draw : random.Random
-        Spreads digests over time and peers.
+        Receives log events.
+    rng : random.Random
+        Source of the jitter of the interval between digests.
     """
 
     def __init__(
@@ -150,15 +149,15 @@
         loads,
         accounts,
         quarantine: Quarantine,
-        word_news: FeedbackExchange,
+        feedback: FeedbackExchange,
         limits: RateLimits,
         log,
-        draw: random.Random,
+        rng: random.Random,
     ):
-        self._draw = draw
+        self._rng = rng
         self._accounts = accounts
         self._quarantine = quarantine
-        self._feedback_exchange = word_news
+        self._feedback_exchange = feedback
         self._limits = limits
         self._reactor = reactor
         self._identity = identity
@@ -167,39 +166,39 @@
         self._loads = loads
         self._log = log
         self._fetching: set[bytes] = set()
-        self._wanted: dict[bytes, int] = {}
+        self._newest_announced: dict[bytes, int] = {}
         self._configuration = PackedCache()
         self._endpoints = PackedCache()
         self.overlay = Overlay(book, identity.zone, reactor.seconds, identity.link_mbit_per_s)
-        self._seen_live: set[str] = set()
+        self._previously_live: set[str] = set()
         self._callers: dict[str, HttpCaller] = {}
-        self.exchange = PeerDatagramProtocol(self.hear, self._note_refused)
-        #: The layout that each peer told of itself last; it is told in the same.
+        self.exchange = PeerDatagramProtocol(self.receive, self._record_rejected)
+        #: Layout of the latest message from each peer; messages to it use the same.
         self._layouts: dict[str, int] = {}
-        #: The layout in which each machine last sent what can't be read.
-        self._refused: dict[str, int | None] = {}
+        #: Layout of the latest rejected message from each host.
+        self._rejected_layouts: dict[str, int | None] = {}
         self.refused_count = 0
-        self._telling_soon = None
+        self._pending_announcement = None
         self.stopping = False
 
     def start(self) -> None:
-        """Begin to send digests."""
+        """Start sending digests."""
         self._tick()
 
     def _tick(self) -> None:
-        self._reactor.callLater(_PERIOD_S * self._draw.uniform(0.85, 1.15), self._tick)
-        self._note_changes()
-        self._tell()
+        self._reactor.callLater(_PERIOD_S * self._rng.uniform(0.85, 1.15), self._tick)
+        self._log_liveness_changes()
+        self._announce()
 
     def announce_soon(self) -> None:
-        """Tell the others before the next round is due."""
-        if self._telling_soon is None:
-            self._telling_soon = self._reactor.callLater(_SOON_S, self._tell)
-
-    def _tell(self) -> None:
-        if self._telling_soon is not None and self._telling_soon.active():
-            self._telling_soon.cancel()
-        self._telling_soon = None
+        """Send digests to the peers before the next interval ends."""
+        if self._pending_announcement is None:
+            self._pending_announcement = self._reactor.callLater(_PROMPT_DELAY_S, self._announce)
+
+    def _announce(self) -> None:
+        if self._pending_announcement is not None and self._pending_announcement.active():
+            self._pending_announcement.cancel()
+        self._pending_announcement = None
         encoded: dict[tuple[int, int], bytes] = {}
         for address, message in self.overlay.outgoing(self.digest()):
             layout = self._layouts.get(address, DIGEST_LAYOUT)
@@ -208,28 +207,28 @@
                 encoded[key] = _encode(message, layout)
             self.exchange.send(encoded[key], address)
 
-    def _note_refused(self, host: str, layout: int | None) -> None:
-        """Count a message that can't be read; write a line when a machine begins to send such."""
+    def _record_rejected(self, host: str, layout: int | None) -> None:
+        """Count a rejected message; log the first of its layout from each host."""
         self.refused_count += 1
-        if self._refused.get(host, 0) == layout:
+        if self._rejected_layouts.get(host, 0) == layout:
             return
-        if len(self._refused) >= _REFUSED_LIMIT:
-            self._refused.clear()
-        self._refused[host] = layout
+        if len(self._rejected_layouts) >= _MAX_REJECTED_HOSTS:
+            self._rejected_layouts.clear()
+        self._rejected_layouts[host] = layout
         self._log.belief("peer.unreadable", host=host, layout=layout)
 
-    def _note_changes(self) -> None:
-        """Write a line on each peer that fell silent, or is heard again."""
+    def _log_liveness_changes(self) -> None:
+        """Log each peer that has become silent or live again."""
         watched = self.overlay.watched()
         live = {peer.address for peer in self._book.live()} & watched
-        for address in sorted(live - self._seen_live):
+        for address in sorted(live - self._previously_live):
             self._log.belief("peer.regained", peer=address, live=len(live))
-        for address in sorted((self._seen_live & watched) - live):
+        for address in sorted((self._previously_live & watched) - live):
             self._log.belief("peer.lost", peer=address, live=len(live))
-        self._seen_live = live
+        self._previously_live = live
 
     def digest(self) -> Digest:
-        """Return this router's digest as of now."""
+        """Return the current digest of this router."""
         age_s = self._state.unconfirmed_for_s()
         return msgspec.structs.replace(
             self._identity,
@@ -237,10 +236,12 @@
             endpoints_version=self._state.endpoints_version.number,
             endpoints_era=self._state.endpoints_version.era,
             confirmed_age_s=round(age_s, 3) if age_s != float("inf") else -1.0,
-            loads=tuple(self._loads()[:_LOADS_LIMIT]),
+            loads=tuple(self._loads()[:_MAX_LOADS]),
             stopping=self.stopping,
             short=self._accounts.short,
-            spare=tuple(self._accounts.spare()[:_SPARE_LIMIT]) if self._some_short() else (),
+            spare=tuple(self._accounts.spare()[:_MAX_LOAN_OFFERS])
+            if self._any_peer_short()
+            else (),
             zone_orders=self._state.announced_zone_orders(),
             quarantine=self._quarantine.make_update(),
             words=self._feedback_exchange.words(),
@@ -248,12 +249,12 @@
             accounts=self._accounts.updates.announced(),
         )
 
-    def _some_short(self) -> bool:
-        since_s = self._reactor.seconds() - _SHORT_LIFE_S
+    def _any_peer_short(self) -> bool:
+        since_s = self._reactor.seconds() - _SHORTAGE_LIFETIME_S
         return any(peer.digest.short and peer.received_s >= since_s for peer in self._book.live())
 
-    def hear(self, message: Digest | FleetSummary) -> None:
-        """Take in what a peer tells, and fetch what it, or another, knows better."""
+    def receive(self, message: Digest | FleetSummary) -> None:
+        """Merge a message from a peer, and fetch state that is newer elsewhere."""
         if message.address != self._book.own_address:
             self._layouts[message.address] = message.layout
             self._state.adopt_announced_zone_orders(message.zone_orders, f"peer {message.address}")
@@ -261,13 +262,13 @@
             self._feedback_exchange.merge(message.words)
             self._limits.merge(message.limits)
         if isinstance(message, Digest):
-            self._hear_digest(message)
+            self._receive_digest(message)
         elif message.address != self._book.own_address:
-            self._hear_summary(message)
+            self._receive_summary(message)
 
-    def _hear_summary(self, summary: FleetSummary) -> None:
-        self.overlay.hear_summary(summary)
-        self._compare(
+    def _receive_summary(self, summary: FleetSummary) -> None:
+        self.overlay.receive_summary(summary)
+        self._fetch_if_newer(
             summary.configuration_version,
             summary.configuration_from,
             summary.confirmed_age_s,
@@ -275,21 +276,21 @@
             summary.endpoints_from,
         )
 
-    def _hear_digest(self, digest: Digest) -> None:
+    def _receive_digest(self, digest: Digest) -> None:
         known = self._book.knows(digest.address)
-        before = self._book.get(digest.address)
-        starts = before is None or before.digest is None
-        if starts or before.digest.incarnation != digest.incarnation:
-            # It can't know what rows said that the store may have lost.
+        previous = self._book.get(digest.address)
+        is_new = previous is None or previous.digest is None
+        if is_new or previous.digest.incarnation != digest.incarnation:
+            # A new process does not know rows that the store may have lost in a rollback.
             self._accounts.updates.announce_all()
         peer = self._book.receive(digest)
         if peer is None:
             return
-        self.overlay.hear_digest(digest)
+        self.overlay.receive_digest(digest)
         self._accounts.updates.merge(digest.accounts)
         if not known:
             self.exchange.send(_encode(self.digest(), digest.layout), digest.address)
-        self._compare(
+        self._fetch_if_newer(
             digest.configuration_version,
             digest.address,
             digest.confirmed_age_s,
@@ -297,7 +298,7 @@
             digest.address,
         )
 
-    def _compare(
+    def _fetch_if_newer(
         self,
         configuration_version: int,
         configuration_from: str,
@@ -305,29 +306,29 @@
         endpoints_version: RowVersion,
         endpoints_from: str,
     ) -> None:
-        """Fetch what is newer elsewhere; note when the own configuration is the newest."""
+        """Fetch newer state, or record the confirmation of the own configuration."""
         if configuration_version > self._state.configuration_version:
-            self._wanted[CONFIGURATION_PATH] = configuration_version
+            self._newest_announced[CONFIGURATION_PATH] = configuration_version
             self._fetch(CONFIGURATION_PATH, configuration_from, self._adopt_configuration)
         elif configuration_version == self._state.configuration_version:
             self._confirm(configuration_version, confirmed_age_s)
         if endpoints_version > self._state.endpoints_version:
-            self._wanted[ENDPOINTS_PATH] = endpoints_version
+            self._newest_announced[ENDPOINTS_PATH] = endpoints_version
             self._fetch(ENDPOINTS_PATH, endpoints_from, self._adopt_endpoints)
 
     def _confirm(self, version: int, age_s: float) -> None:
         if age_s >= 0 and version:
             self._state.confirm(self._reactor.seconds() - age_s)
 
-    def _fetch(self, path: bytes, address: str, adopt) -> None:
+    def _fetch(self, path: bytes, address: str, apply) -> None:
         if path in self._fetching:
             return
         self._fetching.add(path)
-        fetched = defer.ensureDeferred(self._fetch_and_adopt(path, address, adopt))
+        fetched = defer.ensureDeferred(self._fetch_and_apply(path, address, apply))
         fetched.addBoth(lambda _: self._fetching.discard(path))
 
-    async def _fetch_and_adopt(self, path: bytes, address: str, adopt) -> None:
-        # The own feed usually brings the same within milliseconds.
+    async def _fetch_and_apply(self, path: bytes, address: str, apply) -> None:
+        # This router's own feed usually delivers the same state within this time.
         pause = defer.Deferred()
         self._reactor.callLater(0.12, pause.callback, None)
         await pause
@@ -338,7 +339,7 @@
                 b"GET", path, timeout_s=_STATE_TIMEOUT_S, pause_s=_STATE_TIMEOUT_S
             )
             if reply.status == 200:
-                adopt(reply.body, address)
+                apply(reply.body, address)
         except (Http1Error, msgspec.DecodeError) as failure:
             self._log.failure("peer.fetch_failed", peer=address, what=path.decode(), cause=failure)
 
@@ -346,7 +347,7 @@
         own = self._state.endpoints_version
         if path == CONFIGURATION_PATH:
             own = self._state.configuration_version
-        return self._wanted[path] > own
+        return self._newest_announced[path] > own
 
     def _caller(self, address: str) -> HttpCaller:
         caller = self._callers.get(address)
@@ -358,7 +359,7 @@
 
     def _adopt_configuration(self, body: bytes, address: str) -> None:
         copy = unpack(body, ConfigurationCopy)
-        # Orders first: with the configuration a router begins to serve.
+        # Orders first: the router starts serving once it has a configuration.
         self._state.adopt_announced_zone_orders(copy.zone_orders, f"peer {address}")
         self._state.adopt_configuration(copy.configuration, f"peer {address}", copy.row_as_of)
 
@@ -367,7 +368,7 @@
         self._state.adopt_endpoints(snapshot, f"peer {address}")
 
     def serve(self, request: InboundRequest) -> None:
-        """Answer a peer's question for state."""
+        """Answer a peer's request for state, a loan or a return of tokens."""
         state = self._state
         orders = state.announced_zone_orders()
         if request.target == CONFIGURATION_PATH and state.routes and orders is not None:
@@ -379,34 +380,34 @@
             snapshot = state.snapshot()
             request.answer(200, [], self._endpoints.get(snapshot.as_of, snapshot))
         elif request.target == LOANS_PATH:
-            _take_body(request, LoanAsk, self._lend)
+            _decode_body(request, LoanAsk, self._lend)
         elif request.target == RETURNS_PATH:
-            _take_body(request, LoanReturn, self._take_back)
+            _decode_body(request, LoanReturn, self._accept_return)
         else:
             request.answer(404, [])
 
     def _lend(self, request: InboundRequest, ask: LoanAsk) -> None:
-        """Answer a peer that asks for tokens."""
+        """Answer a peer's loan request."""
         if not ask.for_request:
             loan = Loan(self._accounts.lend(ask))
             request.answer(200, [], msgspec.msgpack.encode(loan))
             return
-        lending = self._accounts.lend_for_request(ask)
-        request.on_gone = lending.cancel
+        pending_loan = self._accounts.lend_for_request(ask)
+        request.on_gone = pending_loan.cancel
 
-        def answer(loan: Loan) -> None:
+        def respond(loan: Loan) -> None:
             request.answer(200, [], msgspec.msgpack.encode(loan))
 
-        lending.addCallback(answer)
-        lending.addErrback(lambda failure: failure.trap(defer.CancelledError))
+        pending_loan.addCallback(respond)
+        pending_loan.addErrback(lambda failure: failure.trap(defer.CancelledError))
 
-    def _take_back(self, request: InboundRequest, returned: LoanReturn) -> None:
-        """Take in tokens that a peer has no use for."""
+    def _accept_return(self, request: InboundRequest, returned: LoanReturn) -> None:
+        """Accept tokens that a peer returns."""
         self._accounts.accept_return(returned)
         request.answer(200, [])
 
     async def call(self, address: str, path: bytes, body: bytes, timeout_s: float) -> bytes | None:
-        """Return the body of a peer's answer, None when there was no good one."""
+        """Return the body of a peer's response, None if the call failed."""
         try:
             return await self.call_or_raise(address, path, body, timeout_s)
         except Http1Error as failure:
@@ -416,29 +417,29 @@
     async def call_or_raise(
         self, address: str, path: bytes, body: bytes, timeout_s: float
     ) -> bytes | None:
-        """Return the body of a peer's answer, None when it was no success.
+        """Return the body of a peer's response, None if its status is not 200.
 
         Raises
         ------
         NotSentError
             Nothing was sent.
         UnansweredError
-            No answer came; the peer may have read the call.
+            No response was received; the peer may have processed the call.
         """
         reply = await self._caller(address).call(b"POST", path, body, timeout_s)
         return reply.body if reply.status == 200 else None
 
 
-def _take_body(request: InboundRequest, layout: type, act: Callable) -> None:
-    """Gather a peer's message and act on it; bytes that are none are told so."""
-    parts: list[bytes] = []
+def _decode_body(request: InboundRequest, layout: type, handle: Callable) -> None:
+    """Receive the body of a request, decode and handle it; answer 400 if it is invalid."""
+    chunks: list[bytes] = []
 
-    def ended() -> None:
+    def body_received() -> None:
         try:
-            message = msgspec.msgpack.decode(b"".join(parts), type=layout)
+            message = msgspec.msgpack.decode(b"".join(chunks), type=layout)
         except (msgspec.DecodeError, ValueError):
             request.answer(400, [])
             return
-        act(request, message)
+        handle(request, message)
 
-    request.attach(parts.append, ended)
+    request.attach(chunks.append, body_received)
