--- a/turnward/gateway/tests/test_mixed_versions.py
+++ b/turnward/gateway/tests/test_mixed_versions.py
@@ -1,13 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Routers of older builds and this one understand each other while a fleet is upgraded.
+"""Routers of older versions and of this one exchange messages during a rolling upgrade.
 
-What would be seen: while machines are replaced one after the other, the routers of the two builds
-drop each other's messages without a line, since the number of the layout differs, though every
-change between them only added fields at the end. Each half borrows no tokens from the other, sees
-nothing of its load, and hears nothing of the requests that end endpoints there.
+Guards against routers that silently drop messages of another layout version, which would separate
+the two halves of a fleet: no loans between them, and no knowledge of load or crashing requests.
 
-``recorded/COMMIT.json`` holds messages of that build, each field filled, as its own code wrote
-them.
+``recorded/COMMIT.json`` holds messages that the code at that commit encoded, with all fields set.
 """
 
 import json
@@ -30,8 +27,8 @@
 
 RECORDED = sorted((Path(__file__).parent / "recorded").glob("*.json"))
 TYPES = {
-    one.__name__: one
-    for one in (
+    message_type.__name__: message_type
+    for message_type in (
         AccountRow,
         ConfigurationCopy,
         Digest,
@@ -48,24 +45,24 @@
 
 
 def differences(recorded, value, path=""):
-    """Return the paths of fields that do not hold what an older build wrote into them."""
+    """Return the paths of fields whose values differ from the recorded ones."""
     if isinstance(value, msgspec.Struct):
-        names = list(value.__struct_fields__)
+        field_names = list(value.__struct_fields__)
         if type(value).__struct_config__.array_like:
-            # A field is where it was, whatever its name is now.
-            pairs = list(zip(names, recorded.items(), strict=False))
-            lost = [f"{path}.{name}" for name in list(recorded)[len(names) :]]
-            return lost + [
-                found
-                for name, (_, old) in pairs
-                for found in differences(old, getattr(value, name), f"{path}.{name}")
+            # Fields are compared by position, since their names are not encoded.
+            pairs = list(zip(field_names, recorded.items(), strict=False))
+            missing = [f"{path}.{name}" for name in list(recorded)[len(field_names) :]]
+            return missing + [
+                difference
+                for name, (_, old_value) in pairs
+                for difference in differences(old_value, getattr(value, name), f"{path}.{name}")
             ]
         return [
-            found
-            for name, old in recorded.items()
-            for found in (
-                differences(old, getattr(value, name), f"{path}.{name}")
-                if name in names
+            difference
+            for name, old_value in recorded.items()
+            for difference in (
+                differences(old_value, getattr(value, name), f"{path}.{name}")
+                if name in field_names
                 else [f"{path}.{name}"]
             )
         ]
@@ -73,7 +70,11 @@
         if len(value) != len(recorded):
             return [path]
         pairs = zip(recorded, value, strict=True)
-        return [found for old, new in pairs for found in differences(old, new, path)]
+        return [
+            difference
+            for old_value, new_value in pairs
+            for difference in differences(old_value, new_value, path)
+        ]
     if isinstance(value, dict):
         return [] if {str(key) for key in value} == set(recorded) else [path]
     return [] if value == recorded else [path]
@@ -103,7 +104,7 @@
 
 
 def test_field_inserted_in_the_middle_is_detected():
-    """Read by guess, a number would be taken for another field's."""
+    """Otherwise a value could be decoded as that of another field."""
 
     class Middle(msgspec.Struct, frozen=True, array_like=True):
         endpoint: str
@@ -128,7 +129,7 @@
 
 
 def test_older_reader_ignores_added_fields():
-    """A reader that knows the first fields only, as a build before rate limits does."""
+    """Simulates a version that knows only the first fields."""
 
     class Older(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
         layout: int
@@ -142,15 +143,15 @@
     assert (older.node, older.address) == ("n", "a:1")
 
 
-def as_build(process, layout):
-    """Let a router speak and read one layout only, as builds before this one do."""
+def limit_to_layout(process, layout):
+    """Make a router send and accept one layout only, as older versions do."""
     process.peers.exchange.layouts = range(layout, layout + 1)
     process.peers._identity = msgspec.structs.replace(process.peers._identity, layout=layout)
-    process.peers._layouts = Fixed(layout)
+    process.peers._layouts = ConstantMapping(layout)
 
 
-class Fixed(dict):
-    """A mapping in which every key has one value."""
+class ConstantMapping(dict):
+    """A mapping that returns the same value for every key."""
 
     def __init__(self, value):
         super().__init__()
@@ -169,28 +170,30 @@
     for number in range(gateways):
         process = harness.gateway()
         if number % 2:
-            as_build(process, layout)
-    assert harness.network.advance_until(lambda: all(one.ready for one in harness.gateways))
+            limit_to_layout(process, layout)
+    assert harness.network.advance_until(lambda: all(gateway.ready for gateway in harness.gateways))
     harness.network.advance(4.0)
-    assert [one.peers.overlay.live_routers for one in harness.gateways] == [gateways] * gateways
+    assert [gateway.peers.overlay.live_routers for gateway in harness.gateways] == [
+        gateways
+    ] * gateways
 
 
 def test_versions_that_read_only_their_own_layout_do_not_communicate():
-    """As it was: the later build spoke its own layout to all."""
+    """Without a common layout, each version sees only its own routers."""
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.rows.put("configuration", "all", msgspec.json.encode(harness.configuration))
     for layout in (5, 6, 5, 6):
-        as_build(harness.gateway(), layout)
+        limit_to_layout(harness.gateway(), layout)
     harness.network.advance(6.0)
-    assert [one.peers.overlay.live_routers for one in harness.gateways] == [2] * 4
+    assert [gateway.peers.overlay.live_routers for gateway in harness.gateways] == [2] * 4
 
 
 def test_unknown_layout_is_counted_and_logged_once():
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready(gateways=2)
-    as_build(harness.gateways[1], 3)
+    limit_to_layout(harness.gateways[1], 3)
     harness.network.advance(3.0)
     first = harness.gateways[0]
     assert first.peers.refused_count >= 5
@@ -203,8 +206,8 @@
     harness.endpoint(answer_ok)
     harness.ready()
     exchange = harness.gateways[0].peers.exchange
-    for junk in (b"", b"\xff\x00", b"[]", msgspec.msgpack.encode(["digest", 6])):
-        exchange.datagramReceived(junk, ("10.9.9.9", 1))
+    for undecodable in (b"", b"\xff\x00", b"[]", msgspec.msgpack.encode(["digest", 6])):
+        exchange.datagramReceived(undecodable, ("10.9.9.9", 1))
     assert harness.gateways[0].peers.refused_count == 4
     (line,) = harness.logs[0].of("peer.unreadable")
     assert line["layout"] is None
--- a/turnward/gateway/tests/test_packing.py
+++ b/turnward/gateway/tests/test_packing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""State as routers pass it on."""
+"""Packing of the state that routers fetch from each other."""
 
 import random
 import zlib
@@ -15,20 +15,19 @@
 )
 from turnward.gateway.packing import pack, unpack
 
-#: Routes with names of their own; 416 KB before they are packed.
 ROUTES = 2_000
-#: A sixth of a second of a link of 5 Mbit/s; 28 KB were measured.
+#: Takes a sixth of a second on a link of 5 Mbit/s.
 PACKED_LIMIT_BYTES = 100_000
 
 
 def large_configuration():
-    draw = random.Random(1)
+    rng = random.Random(1)
     letters = "abcdefghijklmnopqrstuvwxyz0123456789"
     routes = tuple(
         Route(
-            name=f"r-{''.join(draw.choices(letters, k=7))}",
+            name=f"r-{''.join(rng.choices(letters, k=7))}",
             host="shop.example",
-            path_prefix=f"/{''.join(draw.choices(letters, k=7))}/",
+            path_prefix=f"/{''.join(rng.choices(letters, k=7))}/",
             pools=(WeightedPool("service"),),
         )
         for _ in range(ROUTES)
--- a/turnward/gateway/tests/test_router_tables.py
+++ b/turnward/gateway/tests/test_router_tables.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The table of rows in the decision on eras names each table that a gateway writes."""
+"""The page on eras of the store lists every table that a gateway writes."""
 
 import re
 from pathlib import Path
@@ -7,8 +7,6 @@
 PAGE = Path("docs/decisions/0028-eras-of-the-store.md")
 TABLE = re.compile(r'^(?:\w+_)?TABLE = "([a-z]+)"$', re.MULTILINE)
 
-
-#: Tables that gateways only read.
 READ_ONLY = {"configuration", "endpoints"}
 
 
