--- a/conftest.py
+++ b/conftest.py
@@ -10,9 +10,9 @@
 _LONGEST = (
     "tests/test_processes.py",
     "turnward/gateway/tests/test_prepaid.py",
-    "platform/tests/test_configuration_spread.py",
-    "platform/tests/test_zone_orders_spread.py",
-    "platform/tests/test_zones_apart.py",
+    "platform/tests/test_configuration_propagation.py",
+    "platform/tests/test_zone_order_propagation.py",
+    "platform/tests/test_zone_partitions.py",
     "platform/tests/test_soak.py",
 )
 _KNOWN_RED = Path(__file__).parent / "KNOWN-RED.txt"
--- a/turnward/gateway/tests/test_harmless_requests.py
+++ b/turnward/gateway/tests/test_harmless_requests.py
@@ -19,7 +19,7 @@
 FATAL = b"what no engine bears"
 POPULAR = b"what all ask for"
 #: Reasons of refusals of what ends endpoints, or may do so.
-HELD_BACK = (b"ends_endpoints", b"may_end_endpoints")
+QUARANTINE_ERRORS = (b"ends_endpoints", b"may_end_endpoints")
 #: Longest that a harmless request may be refused for what another did, in seconds.
 INNOCENT_S = 2.0
 #: Time in which word of an end is to be everywhere, and sends of what ends engines after that.
@@ -83,7 +83,7 @@
         return [
             time_s
             for time_s, caller in self.asked
-            if any(reason in caller.received for reason in HELD_BACK)
+            if any(reason in caller.received for reason in QUARANTINE_ERRORS)
         ]
 
     def longest_refused_s(self):
