--- a/turnward/callers/claim_desk.py
+++ b/turnward/callers/claim_desk.py
@@ -19,7 +19,7 @@
     claim_key,
 )
 from turnward.fleet import RouterState, router_key
-from turnward.ids import minted_s
+from turnward.ids import creation_time_s
 from turnward.router.claim_task import KeepClaim, ReleaseClaim, WantClaim
 from turnward.router.pair_task import LookAgain, ReleaseHeld, WantHeld
 from turnward.store import PlatformError, Put
@@ -153,7 +153,7 @@
     def _require_known(self, claim: ClaimRow) -> None:
         """Refuse an id whose claim may have been lost with both holders of its shard."""
         row = self._context.pairs.row_of(claim_key(claim.workspace, claim.request_id))
-        minted = minted_s(claim.request_id)
+        minted = creation_time_s(claim.request_id)
         if row.unknown_before_s and (minted is None or minted < row.unknown_before_s):
             raise RefusedError(
                 Refusal(Reason.OUTCOME_UNKNOWN, "claims of this time are lost", Outcome.UNKNOWN)
--- a/turnward/callers/services.py
+++ b/turnward/callers/services.py
@@ -15,7 +15,7 @@
 )
 from turnward.endpoints import NotRunError, RunUncertainError
 from turnward.hashing import fingerprint
-from turnward.ids import minted_s, new_id
+from turnward.ids import creation_time_s, new_id
 from turnward.resources import Pool, Workspace
 
 __all__ = ["ServiceRequest", "ServiceServer"]
@@ -78,7 +78,7 @@
             self._desk.close(flight)
 
     def _require_young(self, request_id: str) -> None:
-        minted = minted_s(request_id)
+        minted = creation_time_s(request_id)
         oldest_s = self._context.clock.wall_s() - self._context.settings.id_retention_s
         if minted is not None and minted < oldest_s:
             raise RefusedError(
--- a/turnward/gateway/metrics.py
+++ b/turnward/gateway/metrics.py
@@ -42,7 +42,7 @@
         self.zones_drained = self._gauge(
             "zones_drained", "Availability zones that get no new work by order."
         )
-        self.rows_refused = Gauge(
+        self.rows_unreadable = Gauge(
             "turnward_rows_refused",
             "Rows of the store that can't be read.",
             ["table", "reason"],
@@ -91,11 +91,11 @@
             if sample.name.endswith("_total")
         }
 
-    def set_refused_rows(self, counts: dict[tuple[str, str], int]) -> None:
+    def set_unreadable_rows(self, counts: dict[tuple[str, str], int]) -> None:
         """Set how many rows stand refused, by table and reason."""
-        self.rows_refused.clear()
+        self.rows_unreadable.clear()
         for (table, reason), count in counts.items():
-            self.rows_refused.labels(table, reason).set(count)
+            self.rows_unreadable.labels(table, reason).set(count)
 
     def text(self) -> bytes:
         """Return all figures in the text form."""
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -476,7 +476,7 @@
         metrics.configuration_version.set(self.state.configuration_version)
         metrics.unconfirmed_seconds.set(min(1e6, self.state.unconfirmed_for_s()))
         metrics.zones_drained.set(len(self.state.zone_orders.drained))
-        metrics.set_refused_rows(self.state.unreadable_rows.counts())
+        metrics.set_unreadable_rows(self.state.unreadable_rows.counts())
         metrics.contents_quarantined.set(self.quarantine.quarantined_count)
         metrics.peer_messages_refused.set(self.peers.refused_count)
         metrics.endpoints_limited.set(self._limits.limited_count)
--- a/turnward/ids.py
+++ b/turnward/ids.py
@@ -11,7 +11,7 @@
 
 import uuid6
 
-__all__ = ["key_hash", "minted_s", "new_id"]
+__all__ = ["key_hash", "creation_time_s", "new_id"]
 
 _UUID7 = 7
 
@@ -21,14 +21,14 @@
     return str(uuid6.uuid7())
 
 
-def minted_s(request_id: str) -> float | None:
+def creation_time_s(request_id: str) -> float | None:
     """Return the time in an id, in seconds since 1970, or None if it has none.
 
     Examples
     --------
-    >>> minted_s("not an id") is None
+    >>> creation_time_s("not an id") is None
     True
-    >>> minted_s("0190163d-8694-739b-aea5-966c26f8ad91")
+    >>> creation_time_s("0190163d-8694-739b-aea5-966c26f8ad91")
     1718360049.3
     """
     try:
