--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -253,7 +253,7 @@
         #: Era of the last response, and when all rows lost in a rollback will have been rewritten.
         self._era: int | None = None
         self._rollback_ends_s: float | None = None
-        self._consecutive_history_gone = 0
+        self._consecutive_history_errors = 0
         self._changed = False
         self._stopped = False
         self._running: defer.Deferred | None = None
@@ -276,7 +276,7 @@
             except HistoryUnavailableError as failure:
                 self._needs_reread = True
                 self._reread_cause = str(failure)
-                await self._pause_if_history_gone_again()
+                await self._pause_after_repeated_history_error()
             except RowStoreError as failure:
                 await self._pause(failure)
             except Exception as failure:
@@ -312,7 +312,7 @@
             if self._rollback_ends_s is not None:
                 hold_s = min(hold_s, self._rollback_ends_s - as_of_s)
             changes = await self._store.changes(self._table, self._listener.version, hold_s)
-            self._consecutive_history_gone = 0
+            self._consecutive_history_errors = 0
             self._record_era(changes.version)
             self._changed = bool(changes.rows)
             self._listener.rows_changed(changes)
@@ -350,12 +350,12 @@
         if self._rollback_ends_s is None and self._listener.knows_earlier_era(version):
             self._rollback_ends_s = self._reactor.seconds() + REWRITE_PERIOD_S
 
-    async def _pause_if_history_gone_again(self) -> None:
+    async def _pause_after_repeated_history_error(self) -> None:
         """Back off if rereading the table did not help, so as not to overload the store."""
-        self._consecutive_history_gone += 1
-        if self._consecutive_history_gone > 1:
+        self._consecutive_history_errors += 1
+        if self._consecutive_history_errors > 1:
             pause_s = _RETRY_DELAYS_S[
-                min(self._consecutive_history_gone - 2, len(_RETRY_DELAYS_S) - 1)
+                min(self._consecutive_history_errors - 2, len(_RETRY_DELAYS_S) - 1)
             ]
             await task.deferLater(self._reactor, pause_s * self._rng.uniform(0.7, 1.3))
 
--- a/turnward/gateway/overlay.py
+++ b/turnward/gateway/overlay.py
@@ -151,7 +151,7 @@
         for address in ranked:
             self._group_of[address] = number
 
-    def of(self, address: str) -> int:
+    def group_number(self, address: str) -> int:
         """Return the number of a member's group."""
         return self._group_of[address]
 
@@ -386,7 +386,7 @@
 
     @property
     def _own_group(self) -> int:
-        return self._groups.of(self._book.own_address)
+        return self._groups.group_number(self._book.own_address)
 
     def _update_groups(self) -> None:
         if self._grouped_version == self._book.membership_version:
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -208,7 +208,7 @@
             self.exchange.send(encoded[key], address)
 
     def _record_rejected(self, host: str, layout: int | None) -> None:
-        """Count a rejected message; log the first of its layout from each host."""
+        """Count a rejected message; log it if its host sent none of that layout before it."""
         self.refused_count += 1
         if self._rejected_layouts.get(host, 0) == layout:
             return
