--- a/turnward/gateway/tests/test_mixed_versions.py
+++ b/turnward/gateway/tests/test_mixed_versions.py
@@ -119,8 +119,8 @@
     fields = msgspec.structs.asdict(load)
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(body, type=Middle)
-    short = {"workspace": "acme", "tokens": 7}
-    assert differences(short, LoanOffer("acme", 7)) == []
+    offer_fields = {"workspace": "acme", "tokens": 7}
+    assert differences(offer_fields, LoanOffer("acme", 7)) == []
     assert differences({"workspace": "acme", "pledged": 1, "tokens": 7}, LoanOffer("acme", 1)) != []
     assert differences(fields, EndpointLoad("e", 40, 3, 1.5, 2.5)) == [
         ".requests",
