--- a/turnward/gateway/tests/test_crashing_requests.py
+++ b/turnward/gateway/tests/test_crashing_requests.py
@@ -336,7 +336,7 @@
     if kind == "store":
         for client in harness.clients:
             client.faults.unavailable = True
-        return lambda: [setattr(client.faults, "away", False) for client in harness.clients]
+        return lambda: [setattr(client.faults, "unavailable", False) for client in harness.clients]
     return lambda: None
 
 
