--- a/turnward/gateway/unreadable_rows.py
+++ b/turnward/gateway/unreadable_rows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Rows of the store that can't be read: told once a change, and counted while they stand."""
+"""Tracks rows of the store that can't be decoded, for logs and metrics."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,20 +10,22 @@
 
 __all__ = ["ROW_DECODE_ERRORS", "UnreadableRow", "UnreadableRows"]
 
-#: What reading a row of any bytes may raise; the last where they nest too deep.
+#: Errors that decoding a row may raise; ``RecursionError`` when values are nested too deeply.
 ROW_DECODE_ERRORS = (msgspec.DecodeError, ValueError, RecursionError)
-#: Most rows remembered; more are told of at each reading.
-_ROWS_LIMIT = 1_000
+#: Rows beyond this number are not remembered, and are reported each time that they are read.
+_MAX_ROWS = 1_000
 
 
 class UnreadableRow(msgspec.Struct, frozen=True):
-    """A row that can't be read.
+    """A row that can't be decoded.
 
     Attributes
     ----------
     reason : str
-        ``bytes``: no message at all; ``fields``: one is missing, or of another type or range;
-        ``values``: a text that has to mean something, an address say, does not.
+        ``bytes``: malformed encoding; ``fields``: a field is missing, or has a wrong type or is
+        out of range; ``values``: a text can't be parsed, such as an address.
+    cause : str
+        Text of the decoding error.
     """
 
     key: RowKey
@@ -32,42 +34,44 @@
     cause: str
 
 
-def _reason(failure: Exception) -> str:
-    if isinstance(failure, msgspec.ValidationError):
+def _reason(error: Exception) -> str:
+    if isinstance(error, msgspec.ValidationError):
         return "fields"
-    if isinstance(failure, msgspec.DecodeError | UnicodeError | RecursionError):
+    if isinstance(error, msgspec.DecodeError | UnicodeError | RecursionError):
         return "bytes"
     return "values"
 
 
 class UnreadableRows:
-    """The rows that one process could not read.
+    """The rows that one process could not decode.
 
     Attributes
     ----------
     on_unreadable : callable or None
-        Called with a ``UnreadableRow`` once a version of a row.
+        Called with an ``UnreadableRow`` once for each version of a row.
     """
 
     def __init__(self):
         self._rows: dict[RowKey, UnreadableRow] = {}
         self.on_unreadable: Callable[[UnreadableRow], None] | None = None
 
-    def mark_unreadable(self, row: StoredRow, failure: Exception) -> None:
-        """Note that a row could not be read."""
+    def mark_unreadable(self, row: StoredRow, error: Exception) -> None:
+        """Record that a row could not be decoded."""
         known = self._rows.get(row.key)
         if known is not None and known.version == row.version:
             return
-        refused = UnreadableRow(row.key, row.version, _reason(failure), str(failure))
-        if known is not None or len(self._rows) < _ROWS_LIMIT:
-            self._rows[row.key] = refused
+        unreadable = UnreadableRow(row.key, row.version, _reason(error), str(error))
+        if known is not None or len(self._rows) < _MAX_ROWS:
+            self._rows[row.key] = unreadable
         if self.on_unreadable is not None:
-            self.on_unreadable(refused)
+            self.on_unreadable(unreadable)
 
     def mark_readable(self, key: RowKey) -> None:
-        """Note that a row could be read, or is gone."""
+        """Record that a row could be decoded, or was removed."""
         self._rows.pop(key, None)
 
     def counts(self) -> Counter[tuple[str, str]]:
-        """Return how many rows stand refused, by table and reason."""
-        return Counter((refused.key.table, refused.reason) for refused in self._rows.values())
+        """Return the current number of unreadable rows by table and reason."""
+        return Counter(
+            (unreadable.key.table, unreadable.reason) for unreadable in self._rows.values()
+        )
