--- a/turnward/gateway/tests/crash_simulation.py
+++ b/turnward/gateway/tests/crash_simulation.py
@@ -1,108 +1,108 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Endpoints that end when they run certain requests, on the network in memory."""
+"""Simulates endpoints that crash when they run certain requests, on the in-memory network."""
 
 import msgspec
 
 from turnward.gateway.tests.harness import ENDPOINT_PORT, Harness, answer_head, encode_events
 
-__all__ = ["CrashPlay", "FallingEndpoint"]
+__all__ = ["CrashSimulation", "CrashingEndpoint"]
 
-#: Seconds from when a request begins to run until the process ends.
-FALL_S = 0.05
-#: Seconds after which an endpoint that ended is back.
-BACK_S = 3.2
-#: Seconds between two events of a stream, and how many there are.
-EVENT_S = 0.1
+#: Delay between the start of a run and the crash.
+CRASH_DELAY_S = 0.05
+#: Time until a crashed endpoint has restarted.
+RESTART_S = 3.2
+#: Interval and number of the events of a stream.
+EVENT_INTERVAL_S = 0.1
 EVENT_COUNT = 8
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """An endpoint's process that ended, and the request under which it did."""
+    """A crash of an endpoint, and the body of the request that caused it."""
 
     time_s: float
     endpoint_id: str
     body: bytes
 
 
-class FallingEndpoint:
-    """An endpoint that streams answers, and ends when it runs a body that it can't bear.
+class CrashingEndpoint:
+    """An endpoint that streams responses, and crashes when it runs one of certain bodies.
 
     Parameters
     ----------
-    play : CrashPlay
-        Counts what arrives and what ends.
+    simulation : CrashSimulation
+        Records requests and crashes.
     number : int
-        Which one.
+        Number of the endpoint, for its identifier.
     """
 
-    def __init__(self, play: "CrashPlay", number: int):
-        self._play = play
-        self._starts = 0
+    def __init__(self, simulation: "CrashSimulation", number: int):
+        self._simulation = simulation
+        self._start_count = 0
         self._name = f"engine-{number}"
-        self.endpoint = play.harness.endpoint(self._run, announce=False)
+        self.endpoint = simulation.harness.endpoint(self._run, announce=False)
         self._announce()
 
     def _announce(self) -> None:
-        self._starts += 1
-        harness = self._play.harness
-        self.endpoint.endpoint_id = f"{self._name}-{self._starts}"
-        harness.announce(self.endpoint, zone=self._play.zone_of(self))
+        self._start_count += 1
+        harness = self._simulation.harness
+        self.endpoint.endpoint_id = f"{self._name}-{self._start_count}"
+        harness.announce(self.endpoint, zone=self._simulation.zone_of(self))
 
     def _run(self, endpoint, request) -> None:
         body = endpoint.bodies[-1]
-        self._play.note_send(body)
-        if body in self._play.crashing:
-            endpoint.machine.callLater(FALL_S, self.end, body)
+        self._simulation.record_send(body)
+        if body in self._simulation.crashing:
+            endpoint.machine.callLater(CRASH_DELAY_S, self.crash, body)
             return
-        endpoint.machine.callLater(EVENT_S, self._begin, request)
+        endpoint.machine.callLater(EVENT_INTERVAL_S, self._start_response, request)
 
-    def _begin(self, request) -> None:
+    def _start_response(self, request) -> None:
         head = [*answer_head(request), (b"content-type", b"text/event-stream")]
         request.start(200, head, None)
-        self._go_on(request, 1)
+        self._write_event(request, 1)
 
-    def _go_on(self, request, number: int) -> None:
+    def _write_event(self, request, number: int) -> None:
         request.write(encode_events(number, number))
         if number == EVENT_COUNT:
             request.finish()
             return
-        self.endpoint.machine.callLater(EVENT_S, self._go_on, request, number + 1)
+        self.endpoint.machine.callLater(EVENT_INTERVAL_S, self._write_event, request, number + 1)
 
-    def end(self, body: bytes = b"") -> None:
-        """End the process; another one starts at the address after a while."""
-        play = self._play
-        play.crashes.append(Crash(play.now_s, self.endpoint.endpoint_id, body))
+    def crash(self, body: bytes = b"") -> None:
+        """Crash the process; another one starts at the same address after ``RESTART_S``."""
+        simulation = self._simulation
+        simulation.crashes.append(Crash(simulation.now_s, self.endpoint.endpoint_id, body))
         self.endpoint.machine.kill()
-        play.harness.network.clock.callLater(BACK_S, self._start_again)
+        simulation.harness.network.clock.callLater(RESTART_S, self._restart)
 
-    def _start_again(self) -> None:
+    def _restart(self) -> None:
         machine = self.endpoint.machine
         machine.restart()
         machine.listenTCP(ENDPOINT_PORT, self.endpoint.factory)
-        self._play.harness.rows.remove("endpoints", self.endpoint.endpoint_id)
+        self._simulation.harness.rows.remove("endpoints", self.endpoint.endpoint_id)
         self._announce()
 
 
-class CrashPlay:
-    """A fleet before endpoints that fall, and what their side saw.
+class CrashSimulation:
+    """A fleet with endpoints that crash, and a record of the requests that reached them.
 
     Parameters
     ----------
     gateways, endpoints : int
-        How many.
+        Number of each.
     crashing : tuple of bytes
-        Bodies that end each process that runs them.
+        Bodies that crash each endpoint that runs them.
     repeat : str, optional
-        Whether requests may run again; answers are streams unless they may not.
+        Retry setting of the route; responses are always streams.
     fields
-        Of the configuration, as ``Rig`` takes them.
+        Fields of the configuration, passed to ``Harness``.
 
     Attributes
     ----------
     crashes : list of Crash
-        In the order in which processes ended.
+        Crashes in order of time.
     sends : list of tuple of float and bytes
-        When which body reached an endpoint.
+        Time and body of each request that reached an endpoint.
     """
 
     def __init__(
@@ -117,40 +117,40 @@
         self.crashing = crashing
         self.crashes: list[Crash] = []
         self.sends: list[tuple[float, bytes]] = []
-        self.endpoints = [FallingEndpoint(self, number) for number in range(endpoints)]
+        self.endpoints = [CrashingEndpoint(self, number) for number in range(endpoints)]
         self.harness.ready(gateways)
         self.harness.network.advance(1.0)
 
     @property
     def now_s(self) -> float:
-        """The network's time."""
+        """Current time of the simulated network."""
         return self.harness.network.clock.seconds()
 
-    def zone_of(self, _: FallingEndpoint) -> str:
+    def zone_of(self, _: CrashingEndpoint) -> str:
         """Return the zone in which an endpoint announces itself."""
         return "z"
 
-    def note_send(self, body: bytes) -> None:
-        """Count a request that has reached an endpoint."""
+    def record_send(self, body: bytes) -> None:
+        """Record a request that has reached an endpoint."""
         self.sends.append((self.now_s, body))
 
     def send(self, body: bytes, gateway: int = 0):
-        """Send a request as another caller's connection; return the connection."""
+        """Send a request over a new connection, and return the connection."""
         return self.harness.send(gateway % len(self.harness.gateways), method=b"POST", body=body)
 
     def ask(self, body: bytes, gateway: int = 0):
-        """Send a request and wait for its answer."""
+        """Send a request and wait for its response."""
         number = gateway % len(self.harness.gateways)
         return self.harness.ask(number, method=b"POST", body=body)
 
-    def sends_after(self, body: bytes, since_s: float) -> int:
-        """Return how often a body reached endpoints after a moment."""
-        return sum(1 for time_s, sent in self.sends if sent == body and time_s > since_s)
+    def sends_after(self, body: bytes, after_s: float) -> int:
+        """Return how often a body reached endpoints after a given time."""
+        return sum(1 for time_s, sent in self.sends if sent == body and time_s > after_s)
 
     def crash_count(self, body: bytes) -> int:
-        """Return how many processes have ended under a body."""
+        """Return how many crashes a body has caused."""
         return sum(1 for crash in self.crashes if crash.body == body)
 
     def third_crash_s(self, body: bytes) -> float:
-        """Return when the third process ended under a body."""
+        """Return the time of the third crash that a body caused."""
         return [crash.time_s for crash in self.crashes if crash.body == body][2]
