--- a/turnward/gateway/quarantine_rows.py
+++ b/turnward/gateway/quarantine_rows.py
@@ -51,7 +51,7 @@
             msgspec.structs.replace(
                 run,
                 sent_age_ms=run.sent_age_ms + elapsed_ms,
-                lost_age_ms=run.lost_age_ms + elapsed_ms,
+                aborted_age_ms=run.aborted_age_ms + elapsed_ms,
             )
             for run in self.lost
         )
--- a/turnward/gateway/tests/test_harmless_requests.py
+++ b/turnward/gateway/tests/test_harmless_requests.py
@@ -43,7 +43,7 @@
         self.simulation = CrashSimulation(gateways=gateways, endpoints=endpoints, crashing=fatal)
         self.sent = []
 
-    def ask(self, times=1):
+    def send_popular(self, times=1):
         """Send the popular request to random gateways."""
         for _ in range(times):
             self.sent.append(
@@ -54,7 +54,7 @@
         """Send the popular request repeatedly for some time."""
         until_s = self.simulation.now_s + duration_s
         while self.simulation.now_s < until_s:
-            self.ask()
+            self.send_popular()
             self.simulation.harness.network.advance(self._rng.uniform(0.0, 2 * pause_s))
 
     def crash_engines(self):
@@ -62,7 +62,7 @@
         # Lets earlier requests complete, so that all later ones run beside a crashing request.
         self.simulation.harness.network.advance(2.0)
         for _ in range(3 * len(self._fatal)):
-            self.ask(times=3)
+            self.send_popular(times=3)
             self.simulation.send(self._rng.choice(self._fatal), self._rng.randrange(99))
             self.simulation.harness.network.advance(self._rng.uniform(0.05, 0.1))
         self.simulation.harness.network.advance(0.2)
--- a/turnward/quarantine/__init__.py
+++ b/turnward/quarantine/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which requests end the endpoints that run them, and are held back: pure decisions."""
+"""Quarantine of requests that crash the endpoints that run them, without input or output."""
 
 from turnward.quarantine.messages import (
     EMPTY_QUARANTINE_UPDATE,
@@ -14,10 +14,10 @@
 __all__ = [
     "EMPTY_QUARANTINE_UPDATE",
     "AbortedRun",
+    "CompletedRun",
     "Quarantine",
     "QuarantineChange",
     "QuarantineRule",
     "QuarantineUpdate",
-    "CompletedRun",
     "Verdict",
 ]
--- a/turnward/quarantine/messages.py
+++ b/turnward/quarantine/messages.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What routers tell each other of runs that were lost with their endpoint's connection.
+"""Messages between routers about runs that endpoints aborted.
 
-Ages are as of when a message is sent, by the sender's clock. Words commute and may come twice:
-of two words on the same run the one that puts it earlier counts.
+Ages are relative to the time of sending, by the sender's clock. Messages may arrive in any order
+and more than once: of two reports on the same run, the earlier abort time is kept.
 """
 
 from enum import StrEnum
@@ -12,15 +12,18 @@
 __all__ = [
     "EMPTY_QUARANTINE_UPDATE",
     "AbortedRun",
+    "CompletedRun",
     "QuarantineChange",
     "QuarantineUpdate",
-    "CompletedRun",
     "Verdict",
 ]
 
 
 class Verdict(StrEnum):
-    """What is done with a content."""
+    """How requests with a content are handled.
+
+    A content on trial is sent by one router at a time, and refused by all others.
+    """
 
     ALLOWED = "free"
     ON_TRIAL = "on_trial"
@@ -28,7 +31,7 @@
 
 
 class AbortedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A send whose connection the endpoint closed before the answer was whole.
+    """A run whose connection the endpoint closed before the response was complete.
 
     Attributes
     ----------
@@ -36,39 +39,43 @@
         Fingerprint of method, path, workspace and body.
     endpoint : str
         The endpoint's incarnation.
+    sent_age_ms : int
+        Age of the request.
+    aborted_age_ms : int
+        Age of the abort.
     """
 
     content: str
     endpoint: str
     sent_age_ms: int
-    lost_age_ms: int
+    aborted_age_ms: int
 
 
 class CompletedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A whole answer to a content of which runs had been lost."""
+    """A complete response to a content with aborted runs."""
 
     content: str
     age_ms: int
 
 
 class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a router tells: all that others need to hold back what it holds back."""
+    """What other routers need in order to reach the same verdicts as the sender."""
 
-    lost: tuple[AbortedRun, ...] = ()
-    served: tuple[CompletedRun, ...] = ()
+    aborted: tuple[AbortedRun, ...] = ()
+    completed: tuple[CompletedRun, ...] = ()
 
 
 class QuarantineChange(msgspec.Struct, frozen=True):
-    """A content that is held back from now on, on trial or for sure, or no longer.
+    """A changed verdict on a content.
 
     Attributes
     ----------
     verdict : Verdict
-        What is done with it from now on.
+        The new verdict.
     endpoints : tuple of str
-        The incarnations at which its runs were lost.
-    own : bool
-        Whether a run of this router brought it about; else another router told of it.
+        The incarnations that aborted its runs.
+    local : bool
+        Whether a run of this router led to the change, rather than an update of another router.
     """
 
     content: str
@@ -78,9 +85,9 @@
 
     @property
     def quarantined(self) -> bool:
-        """Whether it is held back, on trial or for sure."""
+        """Whether the content is on trial or confirmed to crash endpoints."""
         return self.verdict is not Verdict.ALLOWED
 
 
-#: What a router tells that knows of nothing.
+#: The update of a router without suspects.
 EMPTY_QUARANTINE_UPDATE = QuarantineUpdate()
--- a/turnward/quarantine/quarantine.py
+++ b/turnward/quarantine/quarantine.py
@@ -1,31 +1,34 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Holds back requests whose runs end endpoints, whichever id and router they come under.
-
-A run is lost when its endpoint closes the connection before the answer is whole. That may be the
-request's doing, another's that ran beside it, or a fault of the network. A content is held back
-once its runs were lost at several incarnations of endpoints, at least one of them sent after
-another had been lost, and none was answered since:
-
-- several, because an engine takes up to 48 requests down with it, and each of these is lost once;
-- sent again, because one reset of many connections loses many runs of a content that is much
-  asked for at the same moment;
-- none answered, because what ends each endpoint that runs it is never answered.
-
-That is also seen of a harmless content that many ask for when another ends engines beside it, one
-right after the other. So two kinds of evidence that it may be innocent are weighed:
-
-- it was answered before. Its losses then count only where no suspicious content that was never
-  answered was lost beside it, nor one that was at two engines, and it is held back on trial only;
-- others that are as suspicious were lost wherever it was: not all of them need be guilty.
-
-On trial means that all routers refuse it but one, which sends it once; the next in rank does so
-a while later if nothing is heard. What was lost together has the same router, which tries one
-content at a time, so that none is lost beside another again. An answer clears a content everywhere;
-a further loss proves it, and clears those whose losses it explains.
-
-A loss counts no longer once its endpoint is known to have outlived it: the same incarnation still
-stands in the store when the entry of an ended process would be gone. Else a network that resets
-all connections for some seconds would hold back, for minutes, what many ask for.
+"""Quarantines requests that crash endpoints, whatever their ids and the routers they arrive at.
+
+Requests with the same method, path, workspace and body have the same content. A run is aborted
+when its endpoint closes the connection before the response is complete. The cause may be the
+request itself, another one that ran at the same time, or the network. A content is quarantined
+when several incarnations of endpoints have aborted its runs, at least one of these runs was sent
+after another had been aborted, and there has been no response since:
+
+- several incarnations, because a crash aborts all runs of an endpoint, once each;
+- sent again, because a reset of many connections aborts many runs of a popular content at once;
+- no response, because a content that crashes every endpoint never gets one.
+
+A harmless popular content meets these conditions too, when another content crashes endpoints in
+quick succession. So two kinds of evidence are taken into account in its favor:
+
+- It was answered before. Then its aborts are ignored at endpoints that also aborted a suspicious
+  content without any response, or another unanswered content that shares at least two aborts with
+  it. If enough aborts remain, it is quarantined on trial only.
+- Equally suspicious contents were aborted at the same endpoints, so that any of them may be the
+  cause.
+
+A content on trial is refused by all routers but one, which sends it once. If no result is
+announced, the router of the next rank sends it some time later. Contents that were aborted together
+have the same router, which tries one at a time, so that they do not run together again. A response
+clears a content at all routers. Another abort confirms it, and clears the contents whose aborts it
+explains.
+
+An abort is dropped when its endpoint is known to have survived it: the same incarnation still has
+an entry in the store when that of a crashed process would have expired. Otherwise, some seconds of
+connection resets would quarantine popular contents for minutes.
 """
 
 from collections import OrderedDict
@@ -42,77 +45,77 @@
     QuarantineUpdate,
     Verdict,
 )
-from turnward.quarantine.suspects import Loss, Suspect, age_ms, explained_ends
+from turnward.quarantine.suspects import Abort, Suspect, age_ms, explained_endpoints
 
 __all__ = ["Quarantine", "QuarantineRule"]
 
-#: Heartbeats that an ended process misses before its entry goes.
-_HEARTBEATS_MISSED = 3
-#: Common losses from which on a content that is not suspicious itself may be what ended engines.
-_EXPLAINS_LEAST = 2
-#: Seconds after the last loss at which a trial opens: all routers know of all losses then.
-_TRIAL_OPENS_S = 0.6
-#: Seconds by which each next router in rank begins later.
-_TRIAL_STAGGER_S = 1.0
-#: Longest that a trial keeps others from being begun by the same router.
-_TRIAL_LASTS_S = 5.0
-#: Contents remembered that were answered.
-_ANSWERED_LIMIT = 4_096
-#: Seconds, with a wide margin, in which routers learn that an entry has gone: feeds rest for 1 s,
-#: and two levels of aggregators pass it on.
-_NEWS_OF_ENDS_S = 6.4
-#: Seconds for which a content is told after something was learnt of it: many rounds of messages,
-#: most of which may be lost.
-_NEWS_S = 5.0
-#: Most contents told for that, which bounds a message: an engine that ends takes all its requests
-#: with it.
-_NEWS_LIMIT = 32
+#: Missed heartbeats after which the entry of an endpoint expires.
+_MISSED_HEARTBEATS = 3
+#: Common aborts from which on a content that is not suspicious itself explains those of another.
+_MIN_COMMON_ABORTS = 2
+#: Time between the last abort and a trial, in which all routers receive all aborts.
+_TRIAL_DELAY_S = 0.6
+#: Additional delay of a trial per rank of the router.
+_TRIAL_DELAY_PER_RANK_S = 1.0
+#: Longest time for which a trial keeps the same router from beginning another.
+_TRIAL_TIMEOUT_S = 5.0
+#: Number of contents remembered as answered.
+_MAX_ANSWERED = 4_096
+#: Time within which all routers learn that an entry has expired: a poll interval of 1 s and two
+#: levels of aggregators, with a margin.
+_REMOVAL_PROPAGATION_S = 6.4
+#: Time for which a content is announced after its evidence changed. It spans many messages, since
+#: most of them may be lost.
+_ANNOUNCE_S = 5.0
+#: Most recently changed contents in one message, which bounds its size when an endpoint with many
+#: runs crashes.
+_MAX_ANNOUNCED = 32
 
 
 class QuarantineRule(msgspec.Struct, frozen=True, kw_only=True):
-    """When and for how long a content is held back.
+    """When and for how long a content is quarantined.
 
     Attributes
     ----------
-    endpoints : int
-        How many incarnations of endpoints its runs must have been lost at.
-    hold_s : float
-        Seconds since the last loss after which it may be tried again; a further loss then
-        holds it back for as long again.
-    memory_s : float
-        Seconds after which a loss is forgotten.
-    outlived_s : float
-        Seconds after a loss, in unbroken contact with the store, after which an endpoint that
-        still stands there did not end then.
-    contents : int
-        Most contents that are remembered; each takes under 1 KB.
+    min_endpoints : int
+        Number of incarnations that must have aborted its runs.
+    quarantine_s : float
+        Seconds after the last abort at which the quarantine expires. A further abort renews it.
+    retention_s : float
+        Seconds after which an abort is forgotten.
+    survival_s : float
+        Seconds after an abort, with the store reachable throughout, at which an endpoint that
+        still has an entry is known to have survived.
+    max_contents : int
+        Most contents that are remembered; each takes less than 1 KB.
     """
 
-    endpoints: int = 3
-    hold_s: float = 600.0
-    memory_s: float = 3_600.0
-    outlived_s: float = 10.0
-    contents: int = 1_024
+    min_endpoints: int = 3
+    quarantine_s: float = 600.0
+    retention_s: float = 3_600.0
+    survival_s: float = 10.0
+    max_contents: int = 1_024
 
     @classmethod
     def from_heartbeat(cls, heartbeat_s: float) -> "QuarantineRule":
-        """Return the rule for endpoints that write their entries that often."""
-        return cls(outlived_s=_HEARTBEATS_MISSED * heartbeat_s + _NEWS_OF_ENDS_S)
+        """Return the rule for endpoints that renew their entries at this interval."""
+        return cls(survival_s=_MISSED_HEARTBEATS * heartbeat_s + _REMOVAL_PROPAGATION_S)
 
 
 class Quarantine:
-    """The contents that one router suspects or holds back.
+    """The contents that one router suspects or quarantines.
 
     Parameters
     ----------
     clock : callable
         Steady clock in seconds.
     rule : QuarantineRule
-        When a content is held back.
+        When and for how long a content is quarantined.
     on_change : callable, optional
-        Called with a ``QuarantineChange`` when a content is held back, proved or let go.
+        Called with a ``QuarantineChange`` when the verdict on a content changes.
     rank_of : callable, optional
-        Returns how many routers come before this one in trying what was lost at an endpoint.
+        Returns this router's rank, from 0, in the order in which routers begin trials of the
+        contents that a given endpoint was the first to abort.
 
     Examples
     --------
@@ -121,7 +124,7 @@
     >>> for number in range(3):
     ...     now_s = float(number)
     ...     quarantine.record_abort("c", f"engine-{number}", sent_s=now_s)
-    >>> quarantine.holds("c"), quarantine.holds("another")
+    >>> quarantine.is_quarantined("c"), quarantine.is_quarantined("another")
     (True, False)
     """
 
@@ -136,275 +139,284 @@
         self._clock = clock
         self._rule = rule or QuarantineRule()
         self._on_change = on_change
-        #: In the order in which something was last learnt of them.
+        #: Suspects by content, the most recently changed last.
         self._suspects: OrderedDict[str, Suspect] = OrderedDict()
-        #: Those with losses enough to be judged, and those of them that are held back.
-        self._judged: set[str] = set()
-        self._held: set[str] = set()
-        #: When contents were answered here, in that order.
+        #: Contents with enough aborts to be assessed, and the quarantined ones among them.
+        self._candidates: set[str] = set()
+        self._quarantined: set[str] = set()
+        #: Contents that this router got a response to, with its time, in order of time.
         self._answered: OrderedDict[str, float] = OrderedDict()
-        #: The content that this router sends on trial, and until when it tries no other.
-        self._tried = ""
-        self._tries_until_s = float("-inf")
-        self._turn = 0
+        #: The content of this router's current trial, and when the trial times out.
+        self._trial_content = ""
+        self._trial_until_s = float("-inf")
+        self._rotation = 0
 
-    # What happens here.
+    # Events at this router.
 
     def record_abort(self, content: str, endpoint: str, sent_s: float) -> None:
-        """Note that an endpoint closed the connection of a run before its answer was whole."""
+        """Record that an endpoint closed a connection before the response was complete."""
         self.end_trial(content)
-        self._take_loss(content, Loss(endpoint, sent_s, self._clock()), local=True)
+        self._add_abort(content, Abort(endpoint, sent_s, self._clock()), local=True)
 
     def record_response(self, content: str, success: bool = True) -> None:
-        """Note a whole answer: what was lost until now was not the content's doing.
+        """Record a complete response, which drops the content's aborts so far.
 
-        A success is remembered for losses that come later; an error may not have run it.
+        A success is also remembered for the assessment of later aborts. An error is not, since the
+        endpoint may not have run the request.
         """
         self.end_trial(content)
         if success:
-            self._remember_answer(content)
+            self._remember_response(content)
         if content in self._suspects:
-            self._take_answer(content, self._clock(), local=True)
+            self._add_response(content, self._clock(), local=True)
 
-    def _remember_answer(self, content: str) -> None:
+    def _remember_response(self, content: str) -> None:
         self._answered[content] = self._clock()
         self._answered.move_to_end(content)
-        if len(self._answered) > _ANSWERED_LIMIT:
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.popitem(last=False)
 
-    def record_live_incarnations(self, standing: AbstractSet[str], contact_since_s: float) -> None:
-        """Note which incarnations stand in the store, in contact with it since a moment."""
-        before_s = self._clock() - self._rule.outlived_s
-        if contact_since_s > before_s:
+    def record_live_incarnations(self, live: AbstractSet[str], reachable_since_s: float) -> None:
+        """Record which incarnations have entries, and since when the store has been reachable."""
+        before_s = self._clock() - self._rule.survival_s
+        if reachable_since_s > before_s:
             return
-        dropped = [suspect.drop_outlived(standing, before_s) for suspect in self._suspects.values()]
+        dropped = [suspect.drop_survived(live, before_s) for suspect in self._suspects.values()]
         if any(dropped):
-            self._judge(local=True)
+            self._update_verdicts(local=True)
 
     def is_quarantined(self, content: str) -> bool:
-        """Tell whether a content is to be sent to no endpoint now."""
+        """Return whether a content may not be sent to endpoints now."""
         return self.quarantine_left_s(content) > 0
 
     def quarantine_left_s(self, content: str) -> float:
-        """Return for how long a content is held back; 0 if it isn't.
+        """Return the remaining seconds of a content's quarantine; 0 if it is not quarantined.
 
-        On trial, the time until that can have ended, over and over.
+        For a content on trial, this is the time until the trial may have ended.
         """
         verdict = self.verdict(content)
         if verdict is Verdict.ALLOWED:
             return 0.0
         suspect, now_s = self._suspects[content], self._clock()
         if verdict is Verdict.ON_TRIAL:
-            opens_in_s = max(0.0, suspect.last_lost_s + _TRIAL_OPENS_S - now_s)
-            return opens_in_s + _TRIAL_STAGGER_S
-        return max(0.0, suspect.last_lost_s + self._rule.hold_s - now_s)
+            delay_s = max(0.0, suspect.last_abort_s + _TRIAL_DELAY_S - now_s)
+            return delay_s + _TRIAL_DELAY_PER_RANK_S
+        return max(0.0, suspect.last_abort_s + self._rule.quarantine_s - now_s)
 
     def verdict(self, content: str) -> Verdict:
-        """Return what is done with a content now."""
-        return self._suspects[content].verdict if content in self._held else Verdict.ALLOWED
+        """Return the current verdict on a content."""
+        return self._suspects[content].verdict if content in self._quarantined else Verdict.ALLOWED
 
     def begin_trial(self, content: str) -> bool:
-        """Tell whether this router sends a content that is on trial now, and note that it does."""
+        """Return whether this router is to try a content now; if so, its trial has begun."""
         if self.verdict(content) is not Verdict.ON_TRIAL:
             return False
         suspect, now_s = self._suspects[content], self._clock()
-        rank = self._rank_of(suspect.by_end()[0].endpoint)
-        opens_s = suspect.last_lost_s + _TRIAL_OPENS_S + rank * _TRIAL_STAGGER_S
-        if now_s < max(opens_s, self._tries_until_s):
+        rank = self._rank_of(suspect.in_order()[0].endpoint)
+        begins_s = suspect.last_abort_s + _TRIAL_DELAY_S + rank * _TRIAL_DELAY_PER_RANK_S
+        if now_s < max(begins_s, self._trial_until_s):
             return False
-        self._tried = content
-        self._tries_until_s = now_s + _TRIAL_LASTS_S
+        self._trial_content = content
+        self._trial_until_s = now_s + _TRIAL_TIMEOUT_S
         return True
 
     def end_trial(self, content: str) -> None:
-        """Note that the trial of a content is over, whatever it showed."""
-        if content == self._tried:
-            self._tried = ""
-            self._tries_until_s = float("-inf")
+        """Record that the trial of a content has ended, with any result."""
+        if content == self._trial_content:
+            self._trial_content = ""
+            self._trial_until_s = float("-inf")
 
     @property
     def quarantined_count(self) -> int:
-        """How many contents are held back."""
-        return sum(1 for content in self._held if self.is_quarantined(content))
+        """Number of quarantined contents."""
+        return sum(1 for content in self._quarantined if self.is_quarantined(content))
 
     def aborted_runs_of(self, content: str) -> tuple[AbortedRun, ...]:
-        """Return the losses that make others hold a content back."""
+        """Return the aborts from which other routers reach the same verdict on a content."""
         suspect = self._suspects.get(content)
-        losses = suspect.by_end() if suspect is not None else ()
-        return tuple(loss.told(content, self._clock()) for loss in losses)
+        aborts = suspect.in_order() if suspect is not None else ()
+        return tuple(abort.to_message(content, self._clock()) for abort in aborts)
 
-    def within_retention(self, lost: Sequence[AbortedRun]) -> bool:
-        """Tell whether losses are young enough to be taken in."""
-        return min((run.lost_age_ms for run in lost), default=1e12) <= self._rule.memory_s * 1_000
+    def within_retention(self, runs: Sequence[AbortedRun]) -> bool:
+        """Return whether the latest of some aborts is recent enough to be remembered."""
+        return (
+            min((run.aborted_age_ms for run in runs), default=1e12)
+            <= self._rule.retention_s * 1_000
+        )
 
-    # What others tell.
+    # Updates between routers.
 
     def make_update(self) -> QuarantineUpdate:
-        """Return what others are told: what was learnt lately, and in turn what is held back.
+        """Return an update with the recently changed contents, and one of the quarantined in turn.
 
-        Told for as long as they are remembered, contents would fill each message for an hour. Who
-        starts later reads from the store what is held back.
+        Announcing all remembered contents would make messages too large. Routers that start later
+        read the quarantined ones from the store.
         """
         if not self._suspects:
             return EMPTY_QUARANTINE_UPDATE
-        self._forget_old()
+        self._forget_expired()
         now_s = self._clock()
-        contents = self._news(now_s)
-        held = self._next_held()
-        if held is not None and held not in contents:
-            contents.append(held)
-        lost: list[AbortedRun] = []
-        served: list[CompletedRun] = []
+        contents = self._recently_changed(now_s)
+        quarantined = self._next_quarantined()
+        if quarantined is not None and quarantined not in contents:
+            contents.append(quarantined)
+        aborted: list[AbortedRun] = []
+        completed: list[CompletedRun] = []
         for content in contents:
             suspect = self._suspects[content]
-            lost.extend(loss.told(content, now_s) for loss in suspect.by_end())
-            if suspect.served_s > float("-inf"):
-                served.append(CompletedRun(content, age_ms(now_s, suspect.served_s)))
-        return QuarantineUpdate(tuple(lost), tuple(served))
-
-    def _news(self, now_s: float) -> list[str]:
-        """Return the contents of which something was learnt lately, the newest first."""
-        news = []
+            aborted.extend(abort.to_message(content, now_s) for abort in suspect.in_order())
+            if suspect.response_s > float("-inf"):
+                completed.append(CompletedRun(content, age_ms(now_s, suspect.response_s)))
+        return QuarantineUpdate(tuple(aborted), tuple(completed))
+
+    def _recently_changed(self, now_s: float) -> list[str]:
+        """Return the contents whose evidence changed recently, the newest first."""
+        changed = []
         for content, suspect in reversed(self._suspects.items()):
-            if suspect.learnt_s < now_s - _NEWS_S or len(news) == _NEWS_LIMIT:
+            if suspect.updated_s < now_s - _ANNOUNCE_S or len(changed) == _MAX_ANNOUNCED:
                 break
-            news.append(content)
-        return news
+            changed.append(content)
+        return changed
 
-    def _next_held(self) -> str | None:
-        """Return the content whose turn it is among those held back."""
-        held = sorted(self._held)
-        if not held:
+    def _next_quarantined(self) -> str | None:
+        """Return the next quarantined content in a fixed rotation."""
+        quarantined = sorted(self._quarantined)
+        if not quarantined:
             return None
-        self._turn += 1
-        return held[self._turn % len(held)]
+        self._rotation += 1
+        return quarantined[self._rotation % len(quarantined)]
 
-    def take_in(self, make_update: QuarantineUpdate) -> None:
-        """Take in what another router tells."""
+    def take_in(self, update: QuarantineUpdate) -> None:
+        """Merge the update of another router."""
         now_s = self._clock()
-        for run in make_update.served:
+        for run in update.completed:
             if run.content in self._suspects:
-                self._take_answer(run.content, now_s - run.age_ms / 1_000, local=False)
-        for run in make_update.lost:
-            loss = Loss(
-                run.endpoint, now_s - run.sent_age_ms / 1_000, now_s - run.lost_age_ms / 1_000
+                self._add_response(run.content, now_s - run.age_ms / 1_000, local=False)
+        for run in update.aborted:
+            abort = Abort(
+                run.endpoint, now_s - run.sent_age_ms / 1_000, now_s - run.aborted_age_ms / 1_000
             )
-            self._take_loss(run.content, loss, local=False)
+            self._add_abort(run.content, abort, local=False)
 
-    # Changes.
+    # Evidence and verdicts.
 
-    def _take_loss(self, content: str, loss: Loss, local: bool) -> None:
+    def _add_abort(self, content: str, abort: Abort, local: bool) -> None:
         suspect = self._suspects.get(content)
         if suspect is None:
             suspect = self._suspects[content] = self._new_suspect(content)
-        lapsed = content in self._held and not self.is_quarantined(content)
-        if not suspect.add(loss):
+        expired = content in self._quarantined and not self.is_quarantined(content)
+        if not suspect.add(abort):
             return
-        suspect.learnt_s = self._clock()
+        suspect.updated_s = self._clock()
         self._suspects.move_to_end(content)
-        if lapsed:
-            # Its hold was over, and it has ended another.
-            self._held.discard(content)
+        if expired:
+            # The quarantine had expired, and the content has aborted another run.
+            self._quarantined.discard(content)
             suspect.verdict = Verdict.ALLOWED
-        if len(suspect.losses) >= self._rule.endpoints:
-            self._judged.add(content)
-        self._judge(local)
-        self._make_room()
+        if len(suspect.aborts) >= self._rule.min_endpoints:
+            self._candidates.add(content)
+        self._update_verdicts(local)
+        self._evict()
 
     def _new_suspect(self, content: str) -> Suspect:
         suspect = Suspect()
         if content in self._answered:
-            # Others have to hear of that, also where it refutes what they tell.
-            suspect.served_s = self._answered[content]
-            suspect.learnt_s = self._clock()
+            # Others need this response too, as it may refute their aborts.
+            suspect.response_s = self._answered[content]
+            suspect.updated_s = self._clock()
         return suspect
 
-    def _take_answer(self, content: str, served_s: float, local: bool) -> None:
+    def _add_response(self, content: str, response_s: float, local: bool) -> None:
         suspect = self._suspects[content]
-        if not suspect.clear(served_s):
+        if not suspect.clear(response_s):
             return
-        suspect.learnt_s = self._clock()
+        suspect.updated_s = self._clock()
         self._suspects.move_to_end(content)
-        self._judge(local)
+        self._update_verdicts(local)
 
-    def _judge(self, local: bool) -> None:
-        """Bring all verdicts up to date: what is learnt of one content may clear another."""
-        for content in list(self._judged):
+    def _update_verdicts(self, local: bool) -> None:
+        """Update all verdicts, since evidence on one content may clear another."""
+        for content in list(self._candidates):
             suspect = self._suspects[content]
-            verdict = self._weigh(content, suspect)
-            if len(suspect.losses) < self._rule.endpoints:
-                self._judged.discard(content)
+            verdict = self._assess(content, suspect)
+            if len(suspect.aborts) < self._rule.min_endpoints:
+                self._candidates.discard(content)
             if verdict is not suspect.verdict:
-                self._change(content, suspect, verdict, local)
+                self._set_verdict(content, suspect, verdict, local)
 
-    def _change(self, content: str, suspect: Suspect, verdict: Verdict, local: bool) -> None:
+    def _set_verdict(self, content: str, suspect: Suspect, verdict: Verdict, local: bool) -> None:
         suspect.verdict = verdict
         if verdict is Verdict.ALLOWED:
-            self._held.discard(content)
+            self._quarantined.discard(content)
         else:
-            self._held.add(content)
-        self._tell(QuarantineChange(content, verdict, tuple(sorted(suspect.losses)), local))
+            self._quarantined.add(content)
+        self._notify(QuarantineChange(content, verdict, tuple(sorted(suspect.aborts)), local))
 
-    def _weigh(self, content: str, suspect: Suspect) -> Verdict:
-        """Return what the evidence of a content, and of those lost beside it, asks for."""
+    def _assess(self, content: str, suspect: Suspect) -> Verdict:
+        """Return the verdict from the evidence on a content and on those aborted with it."""
         if not self._is_suspicious(suspect):
             return Verdict.ALLOWED
-        if suspect.was_tried:
+        if suspect.failed_trial:
             return Verdict.CONFIRMED
         others = [
             other
             for name, other in self._suspects.items()
-            if name != content and not other.answered and other.losses
+            if name != content and not other.answered and other.aborts
         ]
-        if self._is_excused(suspect, others):
+        if self._is_explained(suspect, others):
             return Verdict.ALLOWED
-        explained = explained_ends(suspect, filter(self._is_suspicious, others))
-        if suspect.answered or self._too_few(suspect, explained):
+        explained = explained_endpoints(suspect, filter(self._is_suspicious, others))
+        if suspect.answered or self._has_too_few(suspect, explained):
             return Verdict.ON_TRIAL
         return Verdict.CONFIRMED
 
-    def _is_excused(self, suspect: Suspect, others: list[Suspect]) -> bool:
-        """Tell whether others that were never answered explain what a content lost."""
+    def _is_explained(self, suspect: Suspect, others: list[Suspect]) -> bool:
+        """Return whether unanswered contents explain too many aborts of a content to suspect it."""
         if not suspect.answered:
-            return self._too_few(
-                suspect, explained_ends(suspect, (other for other in others if other.was_tried))
+            return self._has_too_few(
+                suspect,
+                explained_endpoints(suspect, (other for other in others if other.failed_trial)),
             )
-        explained = explained_ends(suspect, filter(self._is_suspicious, others))
-        # One that is not suspicious yet counts if it was sent again to where this one was.
-        single = max((suspect.common(other) for other in others), key=len, default=frozenset())
-        if len(single) >= _EXPLAINS_LEAST:
-            explained |= single
-        return self._too_few(suspect, explained)
-
-    def _too_few(self, suspect: Suspect, explained: AbstractSet[str]) -> bool:
-        """Tell whether too few losses of a content are left without an explanation."""
-        return len(suspect.losses) - len(explained) < self._rule.endpoints
+        explained = explained_endpoints(suspect, filter(self._is_suspicious, others))
+        # A content that is not suspicious itself counts if it shares several aborts with this one.
+        most_common = max(
+            (suspect.common_endpoints(other) for other in others), key=len, default=frozenset()
+        )
+        if len(most_common) >= _MIN_COMMON_ABORTS:
+            explained |= most_common
+        return self._has_too_few(suspect, explained)
+
+    def _has_too_few(self, suspect: Suspect, explained: AbstractSet[str]) -> bool:
+        """Return whether too few unexplained aborts remain for a quarantine."""
+        return len(suspect.aborts) - len(explained) < self._rule.min_endpoints
 
     def _is_suspicious(self, suspect: Suspect) -> bool:
-        return len(suspect.losses) >= self._rule.endpoints and suspect.sent_again
+        return len(suspect.aborts) >= self._rule.min_endpoints and suspect.was_resent
 
-    def _tell(self, change: QuarantineChange) -> None:
+    def _notify(self, change: QuarantineChange) -> None:
         if self._on_change is not None:
             self._on_change(change)
 
-    def _forget_old(self) -> None:
-        since_s = self._clock() - self._rule.memory_s
-        old = [
+    def _forget_expired(self) -> None:
+        since_s = self._clock() - self._rule.retention_s
+        expired = [
             content
             for content, suspect in self._suspects.items()
-            if max(suspect.last_lost_s, suspect.served_s) < since_s
+            if max(suspect.last_abort_s, suspect.response_s) < since_s
         ]
-        for content in old:
+        for content in expired:
             self._forget(content)
 
-    def _make_room(self) -> None:
-        """Forget the oldest that is not held back, or the oldest."""
-        if len(self._suspects) <= self._rule.contents:
+    def _evict(self) -> None:
+        """Forget the oldest content that is not quarantined, or else the oldest."""
+        if len(self._suspects) <= self._rule.max_contents:
             return
-        oldest = next((one for one in self._suspects if one not in self._held), None)
+        oldest = next(
+            (content for content in self._suspects if content not in self._quarantined), None
+        )
         self._forget(next(iter(self._suspects)) if oldest is None else oldest)
 
     def _forget(self, content: str) -> None:
         del self._suspects[content]
-        self._held.discard(content)
-        self._judged.discard(content)
+        self._quarantined.discard(content)
+        self._candidates.discard(content)
--- a/turnward/quarantine/suspects.py
+++ b/turnward/quarantine/suspects.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What is known of one content whose runs were lost: where, when, and whether it was answered."""
+"""Evidence on one content with aborted runs."""
 
 import itertools
 from collections.abc import Iterable
@@ -9,135 +9,154 @@
 
 from turnward.quarantine.messages import AbortedRun, Verdict
 
-__all__ = ["Loss", "Suspect", "age_ms", "explained_ends"]
+__all__ = ["Abort", "Suspect", "age_ms", "explained_endpoints"]
 
-#: Seconds within which two words on a content and an endpoint are taken for the same loss: ages
-#: leave out the time on the way.
-_SAME_LOSS_S = 1.0
-#: Seconds between the last loss and a send by which that is known to be a trial.
-_TRIAL_GAP_S = 0.5
-#: Losses after which a further one may be that of a trial.
-_TRIED_AFTER = 3
-#: Losses kept, and told, of one content; the first ones and the last tell most.
-_LOSSES_LIMIT = 8
+#: Reports on a content and an endpoint whose abort times differ by less are taken for the same
+#: abort, since ages leave out network delays.
+_SAME_ABORT_TOLERANCE_S = 1.0
+#: A request sent this much later than the last abort is known to be a trial.
+_MIN_TRIAL_GAP_S = 0.5
+#: Number of aborts after which a further one may belong to a trial.
+_MIN_ABORTS_BEFORE_TRIAL = 3
+#: Aborts that are kept and announced per content. The first and the last are kept.
+_MAX_ABORTS = 8
 
 
-class Loss(msgspec.Struct, frozen=True):
-    """One lost run, by the own clock."""
+class Abort(msgspec.Struct, frozen=True):
+    """One aborted run, with times of this process's clock."""
 
     endpoint: str
     sent_s: float
-    lost_s: float
+    aborted_s: float
 
-    def told(self, content: str, now_s: float) -> AbortedRun:
-        """Return the loss as others are told of it."""
+    def to_message(self, content: str, now_s: float) -> AbortedRun:
+        """Return the message that announces the abort."""
         sent_age_ms = age_ms(now_s, self.sent_s)
-        return AbortedRun(content, self.endpoint, sent_age_ms, age_ms(now_s, self.lost_s))
+        return AbortedRun(content, self.endpoint, sent_age_ms, age_ms(now_s, self.aborted_s))
 
 
 class Suspect:
-    """What is known of one content."""
+    """Evidence on one content.
+
+    Attributes
+    ----------
+    verdict : Verdict
+        How requests with the content are handled.
+    aborts : dict of str to Abort
+        The aborts by incarnation, one each.
+    survived : dict of str to float
+        Incarnations that are known to have survived an abort, with its time.
+    last_abort_s : float
+        When the latest run was aborted.
+    response_s : float
+        When the latest response arrived; minus infinity before any.
+    updated_s : float
+        When the evidence last changed.
+    """
 
     __slots__ = (
-        "last_lost_s",
-        "learnt_s",
-        "losses",
-        "outlived",
-        "served_s",
+        "aborts",
+        "last_abort_s",
+        "response_s",
+        "survived",
+        "updated_s",
         "verdict",
     )
 
     def __init__(self):
         self.verdict = Verdict.ALLOWED
-        self.losses: dict[str, Loss] = {}
-        #: Incarnations that outlived a loss, with when that was lost.
-        self.outlived: dict[str, float] = {}
-        self.last_lost_s = float("-inf")
-        self.served_s = float("-inf")
-        self.learnt_s = float("-inf")
-
-    def add(self, loss: Loss) -> bool:
-        """Take in a loss; True when it was not known."""
-        known = self.losses.get(loss.endpoint)
-        outlived_s = self.outlived.get(loss.endpoint, float("-inf")) + _SAME_LOSS_S
-        if loss.lost_s <= max(self.served_s, outlived_s):
+        self.aborts: dict[str, Abort] = {}
+        self.survived: dict[str, float] = {}
+        self.last_abort_s = float("-inf")
+        self.response_s = float("-inf")
+        self.updated_s = float("-inf")
+
+    def add(self, abort: Abort) -> bool:
+        """Add an abort; return whether it is new."""
+        known = self.aborts.get(abort.endpoint)
+        survived_s = self.survived.get(abort.endpoint, float("-inf")) + _SAME_ABORT_TOLERANCE_S
+        if abort.aborted_s <= max(self.response_s, survived_s):
             return False
-        if known is not None and loss.lost_s < known.lost_s + _SAME_LOSS_S:
-            if loss.lost_s < known.lost_s:
-                self.losses[loss.endpoint] = loss
+        if known is not None and abort.aborted_s < known.aborted_s + _SAME_ABORT_TOLERANCE_S:
+            if abort.aborted_s < known.aborted_s:
+                self.aborts[abort.endpoint] = abort
             return False
-        self.last_lost_s = max(self.last_lost_s, loss.lost_s)
+        self.last_abort_s = max(self.last_abort_s, abort.aborted_s)
         if known is None:
-            self.losses[loss.endpoint] = loss
-            self._make_room()
+            self.aborts[abort.endpoint] = abort
+            self._evict()
         return True
 
-    def _make_room(self) -> None:
-        if len(self.losses) > _LOSSES_LIMIT:
-            del self.losses[self.by_end()[_LOSSES_LIMIT // 2].endpoint]
-
-    def clear(self, served_s: float) -> bool:
-        """Drop the losses up to an answer; False when that tells nothing new."""
-        first_answer = not self.answered
-        self.served_s = max(self.served_s, served_s)
-        kept = {endpoint: loss for endpoint, loss in self.losses.items() if loss.lost_s > served_s}
-        cleared = len(kept) < len(self.losses)
-        self.losses = kept
-        return cleared or first_answer
+    def _evict(self) -> None:
+        if len(self.aborts) > _MAX_ABORTS:
+            del self.aborts[self.in_order()[_MAX_ABORTS // 2].endpoint]
+
+    def clear(self, response_s: float) -> bool:
+        """Drop the aborts before a response; return whether that changed the evidence."""
+        first_response = not self.answered
+        self.response_s = max(self.response_s, response_s)
+        kept = {
+            endpoint: abort
+            for endpoint, abort in self.aborts.items()
+            if abort.aborted_s > response_s
+        }
+        dropped = len(kept) < len(self.aborts)
+        self.aborts = kept
+        return dropped or first_response
 
     @property
     def answered(self) -> bool:
-        """Whether an answer to it is known."""
-        return self.served_s > float("-inf")
+        """Whether any response is known."""
+        return self.response_s > float("-inf")
 
-    def common(self, other: "Suspect") -> set[str]:
-        """Return the endpoints under whose ends both were lost."""
+    def common_endpoints(self, other: "Suspect") -> set[str]:
+        """Return the endpoints that aborted runs of both contents at the same time."""
         return {
             endpoint
-            for endpoint, loss in self.losses.items()
-            if endpoint in other.losses
-            and abs(other.losses[endpoint].lost_s - loss.lost_s) <= _SAME_LOSS_S
+            for endpoint, abort in self.aborts.items()
+            if endpoint in other.aborts
+            and abs(other.aborts[endpoint].aborted_s - abort.aborted_s) <= _SAME_ABORT_TOLERANCE_S
         }
 
     @property
-    def was_tried(self) -> bool:
-        """Whether it was lost once more when it was sent long after all other losses."""
-        by_end = self.by_end()
+    def failed_trial(self) -> bool:
+        """Whether a trial was aborted: a run sent long after the previous abort."""
+        in_order = self.in_order()
         return any(
-            later.sent_s >= before.lost_s + _TRIAL_GAP_S
-            for before, later in itertools.pairwise(by_end[_TRIED_AFTER - 1 :])
+            later.sent_s >= earlier.aborted_s + _MIN_TRIAL_GAP_S
+            for earlier, later in itertools.pairwise(in_order[_MIN_ABORTS_BEFORE_TRIAL - 1 :])
         )
 
-    def drop_outlived(self, standing: AbstractSet[str], before_s: float) -> bool:
-        """Drop the losses before a moment at endpoints that still stand; False if there is none."""
-        outlived = [
-            loss
-            for loss in self.losses.values()
-            if loss.lost_s <= before_s and loss.endpoint in standing
+    def drop_survived(self, live: AbstractSet[str], before_s: float) -> bool:
+        """Drop earlier aborts at endpoints that are still live; return whether there were any."""
+        survived = [
+            abort
+            for abort in self.aborts.values()
+            if abort.aborted_s <= before_s and abort.endpoint in live
         ]
-        for loss in outlived:
-            del self.losses[loss.endpoint]
-            self.outlived[loss.endpoint] = loss.lost_s
-        while len(self.outlived) > _LOSSES_LIMIT:
-            del self.outlived[next(iter(self.outlived))]
-        return bool(outlived)
+        for abort in survived:
+            del self.aborts[abort.endpoint]
+            self.survived[abort.endpoint] = abort.aborted_s
+        while len(self.survived) > _MAX_ABORTS:
+            del self.survived[next(iter(self.survived))]
+        return bool(survived)
 
     @property
-    def sent_again(self) -> bool:
-        """Whether a run that was lost had been sent after another was lost."""
-        first_lost_s = min(loss.lost_s for loss in self.losses.values())
-        return max(loss.sent_s for loss in self.losses.values()) >= first_lost_s
+    def was_resent(self) -> bool:
+        """Whether an aborted run had been sent after another one was aborted."""
+        first_abort_s = min(abort.aborted_s for abort in self.aborts.values())
+        return max(abort.sent_s for abort in self.aborts.values()) >= first_abort_s
 
-    def by_end(self) -> list[Loss]:
-        """Return the losses in the order in which they happened."""
-        return sorted(self.losses.values(), key=lambda loss: loss.lost_s)
+    def in_order(self) -> list[Abort]:
+        """Return the aborts in order of time."""
+        return sorted(self.aborts.values(), key=lambda abort: abort.aborted_s)
 
 
-def explained_ends(suspect: Suspect, others: Iterable[Suspect]) -> set[str]:
-    """Return the endpoints under whose ends a content was lost beside one of the others."""
-    return set().union(*(suspect.common(other) for other in others))
+def explained_endpoints(suspect: Suspect, others: Iterable[Suspect]) -> set[str]:
+    """Return the endpoints that aborted a content together with at least one of the others."""
+    return set().union(*(suspect.common_endpoints(other) for other in others))
 
 
 def age_ms(now_s: float, then_s: float) -> int:
-    """Return an age; never below 0."""
+    """Return an age in milliseconds; at least 0."""
     return max(0, round((now_s - then_s) * 1_000))
--- a/turnward/quarantine/tests/test_quarantine.py
+++ b/turnward/quarantine/tests/test_quarantine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""When a content is held back, for how long, and how routers agree on it."""
+"""When and for how long a content is quarantined, and how routers agree on it."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class Router:
-    """One router's quarantine, and what it told of changes."""
+    """One router's quarantine, and the changes it reported."""
 
     def __init__(self, clock, rule=RULE):
         self.clock = clock
@@ -37,19 +37,19 @@
             clock, rule, lambda change: self.changes.append((change.content, change.quarantined))
         )
 
-    def lose(self, endpoint, content="c", took_s=0.1):
+    def abort(self, endpoint, content="c", duration_s=0.1):
         sent_s = self.clock.now_s
-        self.clock.now_s += took_s
+        self.clock.now_s += duration_s
         self.quarantine.record_abort(content, endpoint, sent_s)
 
-    def lose_at(self, *endpoints, content="c"):
+    def abort_at(self, *endpoints, content="c"):
         for endpoint in endpoints:
-            self.lose(endpoint, content)
+            self.abort(endpoint, content)
 
-    def tell(self, *others):
-        make_update = msgspec.msgpack.encode(self.quarantine.make_update())
+    def announce(self, *others):
+        update = msgspec.msgpack.encode(self.quarantine.make_update())
         for other in others:
-            other.quarantine.take_in(msgspec.msgpack.decode(make_update, type=QuarantineUpdate))
+            other.quarantine.take_in(msgspec.msgpack.decode(update, type=QuarantineUpdate))
 
 
 @pytest.fixture
@@ -59,18 +59,18 @@
 
 def test_content_is_quarantined_after_aborts_at_three_endpoints(clock):
     router = Router(clock)
-    router.lose_at("a", "b")
+    router.abort_at("a", "b")
     assert not router.quarantine.is_quarantined("c")
-    router.lose("d")
+    router.abort("d")
     assert router.quarantine.is_quarantined("c")
     assert router.changes == [("c", True)]
 
 
 def test_incarnation_counts_once_and_restarted_endpoint_counts_again(clock):
     router = Router(clock)
-    router.lose_at("a@1", "a@1", "b@1", "a@1")
+    router.abort_at("a@1", "a@1", "b@1", "a@1")
     assert not router.quarantine.is_quarantined("c")
-    router.lose("a@2")
+    router.abort("a@2")
     assert router.quarantine.is_quarantined("c")
 
 
@@ -79,21 +79,21 @@
     for endpoint in "abde":
         router.quarantine.record_abort("c", endpoint, clock.now_s - 0.5)
     assert not router.quarantine.is_quarantined("c")
-    router.lose("f")
+    router.abort("f")
     assert router.quarantine.is_quarantined("c")
 
 
 def test_response_clears_a_content(clock):
     router = Router(clock)
-    router.lose_at("a", "b")
+    router.abort_at("a", "b")
     router.quarantine.record_response("c")
-    router.lose_at("d", "e")
+    router.abort_at("d", "e")
     assert not router.quarantine.is_quarantined("c")
 
 
 def test_response_of_a_run_in_flight_ends_the_quarantine(clock):
     router = Router(clock)
-    router.lose_at("a", "b", "d")
+    router.abort_at("a", "b", "d")
     router.quarantine.record_response("c")
     assert not router.quarantine.is_quarantined("c")
     assert router.changes == [("c", True), ("c", False)]
@@ -101,37 +101,37 @@
 
 def test_quarantine_expires_and_one_more_abort_renews_it(clock):
     router = Router(clock)
-    router.lose_at("a", "b", "d")
-    assert router.quarantine.quarantine_left_s("c") == pytest.approx(RULE.hold_s)
-    clock.now_s += RULE.hold_s + 1
+    router.abort_at("a", "b", "d")
+    assert router.quarantine.quarantine_left_s("c") == pytest.approx(RULE.quarantine_s)
+    clock.now_s += RULE.quarantine_s + 1
     assert not router.quarantine.is_quarantined("c")
-    router.lose("e")
+    router.abort("e")
     assert router.quarantine.is_quarantined("c")
-    clock.now_s += RULE.hold_s + 1
-    # The same start of an endpoint, which its entry may not tell.
-    router.lose("e")
+    clock.now_s += RULE.quarantine_s + 1
+    # The same incarnation again: an endpoint may crash and return without a new one.
+    router.abort("e")
     assert router.quarantine.is_quarantined("c")
-    clock.now_s += RULE.memory_s + 1
+    clock.now_s += RULE.retention_s + 1
     router.quarantine.make_update()
-    router.lose("f")
+    router.abort("f")
     assert not router.quarantine.is_quarantined("c")
 
 
 def test_aborts_at_three_routers_add_up(clock):
     routers = [Router(clock) for _ in range(3)]
     for router, endpoint in zip(routers, "abd", strict=True):
-        router.lose(endpoint)
+        router.abort(endpoint)
     for router in routers:
-        router.tell(*routers)
+        router.announce(*routers)
     assert all(router.quarantine.is_quarantined("c") for router in routers)
 
 
 def test_update_is_forwarded_to_a_router_that_starts_later(clock):
     one, two, three = (Router(clock) for _ in range(3))
-    one.lose_at("a", "b", "d", "e", "f", "g", "h", "i", "j", "k")
-    one.tell(two)
+    one.abort_at("a", "b", "d", "e", "f", "g", "h", "i", "j", "k")
+    one.announce(two)
     clock.now_s += 300.0
-    two.tell(three)
+    two.announce(three)
     assert three.quarantine.is_quarantined("c")
     left_s = one.quarantine.quarantine_left_s("c")
     assert three.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.01)
@@ -139,12 +139,12 @@
 
 def test_response_at_one_router_clears_at_all(clock):
     routers = [Router(clock) for _ in range(3)]
-    routers[0].lose_at("a", "b", "d")
-    routers[0].tell(*routers[1:])
+    routers[0].abort_at("a", "b", "d")
+    routers[0].announce(*routers[1:])
     clock.now_s += 0.1
     routers[1].quarantine.record_response("c")
     for router in (*routers, *routers):
-        router.tell(*routers)
+        router.announce(*routers)
     assert not any(router.quarantine.is_quarantined("c") for router in routers)
 
 
@@ -152,112 +152,112 @@
     router = Router(clock)
     assert router.quarantine.make_update() is EMPTY_QUARANTINE_UPDATE
     for number in range(200):
-        router.lose_at("e-0123456789", "e-9876543210", content=f"{number:016x}")
-        router.lose("e-5555555555", content=f"{number + 1_000:016x}", took_s=0.001)
-    # Beside up to 48 loads it leaves a datagram of a few packets.
+        router.abort_at("e-0123456789", "e-9876543210", content=f"{number:016x}")
+        router.abort("e-5555555555", content=f"{number + 1_000:016x}", duration_s=0.001)
+    # Together with up to 48 endpoint loads it has to fit into a datagram of a few packets.
     assert len(msgspec.msgpack.encode(router.quarantine.make_update())) < 4_096
 
 
 def test_number_of_suspects_is_bounded_and_quarantined_ones_are_kept(clock):
-    router = Router(clock, QuarantineRule(contents=50))
-    router.lose_at("a", "b", "d")
+    router = Router(clock, QuarantineRule(max_contents=50))
+    router.abort_at("a", "b", "d")
     for number in range(500):
-        router.lose("e", content=f"other {number}", took_s=0.001)
+        router.abort("e", content=f"other {number}", duration_s=0.001)
     assert router.quarantine.is_quarantined("c")
     assert len(router.quarantine._suspects) == 50
 
 
 def test_repeated_updates_neither_extend_nor_renew_a_quarantine(clock):
-    """What is told again, later each time by its way, neither lengthens a hold nor revives one."""
+    """The delay that each forwarding adds to reported ages must not extend a quarantine."""
     routers = [Router(clock) for _ in range(3)]
-    routers[0].lose_at("a", "b", "d")
+    routers[0].abort_at("a", "b", "d")
     for turn in range(400):
         clock.now_s += 0.25
-        make_update = routers[turn % 3].quarantine.make_update()
+        update = routers[turn % 3].quarantine.make_update()
         clock.now_s += 0.02
-        routers[(turn + 1) % 3].quarantine.take_in(make_update)
-    left_s = RULE.hold_s - 400 * 0.27
+        routers[(turn + 1) % 3].quarantine.take_in(update)
+    left_s = RULE.quarantine_s - 400 * 0.27
     for router in routers:
         assert router.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.5)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_routers_converge_after_random_aborts_updates_and_responses(seed, clock):
-    """Whatever was lost, served and told in whatever order: once all is told, all agree."""
-    draw = random.Random(seed)
+    """All routers reach the same verdict once all updates have been exchanged."""
+    rng = random.Random(seed)
     routers = [Router(clock) for _ in range(4)]
     for _ in range(60):
-        router = draw.choice(routers)
-        what = draw.random()
-        if what < 0.6:
-            router.lose(f"e{draw.randrange(6)}@{draw.randrange(3)}", f"c{draw.randrange(3)}")
-        elif what < 0.7:
+        router = rng.choice(routers)
+        action = rng.random()
+        if action < 0.6:
+            router.abort(f"e{rng.randrange(6)}@{rng.randrange(3)}", f"c{rng.randrange(3)}")
+        elif action < 0.7:
             clock.now_s += 0.01
-            router.quarantine.record_response(f"c{draw.randrange(3)}")
+            router.quarantine.record_response(f"c{rng.randrange(3)}")
         else:
-            router.tell(*draw.sample(routers, 2))
-        clock.now_s += draw.uniform(0.01, 0.2)
+            router.announce(*rng.sample(routers, 2))
+        clock.now_s += rng.uniform(0.01, 0.2)
     for _ in range(3):
         for router in routers:
-            router.tell(*routers)
+            router.announce(*routers)
     for content in ("c0", "c1", "c2"):
         quarantined = {router.quarantine.is_quarantined(content) for router in routers}
         assert len(quarantined) == 1, (content, quarantined)
 
 
-def outlive(router, *endpoints, contact_s=1_000.0):
-    """Let the router see that endpoints stand in the store."""
-    router.quarantine.record_live_incarnations(set(endpoints), router.clock.now_s - contact_s)
+def record_live(router, *endpoints, reachable_for_s=1_000.0):
+    """Record at a router that endpoints still have entries in the store."""
+    router.quarantine.record_live_incarnations(set(endpoints), router.clock.now_s - reachable_for_s)
 
 
 def test_aborts_at_surviving_endpoints_are_dropped(clock):
     router = Router(clock)
-    router.lose_at("a", "b", "d")
-    clock.now_s += RULE.outlived_s - 1
-    outlive(router, "a", "b", "d")
+    router.abort_at("a", "b", "d")
+    clock.now_s += RULE.survival_s - 1
+    record_live(router, "a", "b", "d")
     assert router.quarantine.is_quarantined("c")
     clock.now_s += 1.5
-    outlive(router, "a", "b", "d")
+    record_live(router, "a", "b", "d")
     assert not router.quarantine.is_quarantined("c")
     assert router.changes == [("c", True), ("c", False)]
 
 
 def test_aborts_at_crashed_endpoints_are_kept(clock):
     router = Router(clock)
-    router.lose_at("a@1", "b@1", "d@1", "e@1")
+    router.abort_at("a@1", "b@1", "d@1", "e@1")
     for _ in range(20):
-        clock.now_s += RULE.outlived_s
-        # One lives on; the others are born again, or gone.
-        outlive(router, "a@1", "b@2", "d@2")
+        clock.now_s += RULE.survival_s
+        # One survives; the others have restarted or were removed.
+        record_live(router, "a@1", "b@2", "d@2")
     assert router.quarantine.is_quarantined("c")
 
 
 def test_entries_read_before_a_store_outage_do_not_show_survival(clock):
     router = Router(clock)
-    router.lose_at("a", "b", "d")
+    router.abort_at("a", "b", "d")
     clock.now_s += 60.0
-    outlive(router, "a", "b", "d", contact_s=2.0)
+    record_live(router, "a", "b", "d", reachable_for_s=2.0)
     assert router.quarantine.is_quarantined("c")
 
 
 def test_dropped_aborts_are_not_merged_again_but_later_ones_are(clock):
     one, two = Router(clock), Router(clock)
-    one.lose_at("a", "b", "d")
-    one.tell(two)
-    clock.now_s += RULE.outlived_s + 1
-    outlive(one, "a", "b", "d")
-    two.tell(one)
+    one.abort_at("a", "b", "d")
+    one.announce(two)
+    clock.now_s += RULE.survival_s + 1
+    record_live(one, "a", "b", "d")
+    two.announce(one)
     assert not one.quarantine.is_quarantined("c")
-    one.lose_at("a", "b", "d")
+    one.abort_at("a", "b", "d")
     assert one.quarantine.is_quarantined("c")
 
 
-# Contents that may only have run beside another.
+# Contents whose aborts may have been caused by another content.
 
 
-def lose_together(router, *contents, ends=("a", "b", "d")):
-    """Lose runs of several contents at the same ends, one right after the other."""
-    for endpoint in ends:
+def abort_together(router, *contents, endpoints=("a", "b", "d")):
+    """Abort runs of several contents at the same endpoints, in quick succession."""
+    for endpoint in endpoints:
         sent_s = router.clock.now_s
         router.clock.now_s += 0.02
         for content in contents:
@@ -272,7 +272,7 @@
     router = Router(clock)
     router.quarantine.record_response("popular")
     clock.now_s += 100.0
-    lose_together(router, "popular", "fatal")
+    abort_together(router, "popular", "fatal")
     assert verdicts(router, "popular", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
@@ -280,10 +280,10 @@
     one, two = Router(clock), Router(clock)
     one.quarantine.record_response("popular")
     clock.now_s += 100.0
-    lose_together(two, "popular", "fatal")
+    abort_together(two, "popular", "fatal")
     assert two.quarantine.is_quarantined("popular")
-    two.tell(one)
-    one.tell(two)
+    two.announce(one)
+    one.announce(two)
     assert verdicts(two, "popular", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
@@ -292,24 +292,24 @@
     for content in ("answered once", "popular"):
         router.quarantine.record_response(content)
     for number, endpoint in enumerate(("a", "b", "d")):
-        lose_together(router, "answered once", "popular", f"unique {number}", ends=[endpoint])
+        abort_together(router, "answered once", "popular", f"unique {number}", endpoints=[endpoint])
     assert verdicts(router, "answered once", "unique 0") == [Verdict.ON_TRIAL, Verdict.ALLOWED]
 
 
 def test_abort_during_a_trial_decides_between_two_unanswered_contents(clock):
     router = Router(clock)
-    lose_together(router, "new", "fatal")
+    abort_together(router, "new", "fatal")
     assert verdicts(router, "new", "fatal") == [Verdict.ON_TRIAL, Verdict.ON_TRIAL]
     clock.now_s += 1.0
     assert router.quarantine.begin_trial("fatal")
     assert not router.quarantine.begin_trial("new")
-    router.lose("e", "fatal")
+    router.abort("e", "fatal")
     assert verdicts(router, "new", "fatal") == [Verdict.ALLOWED, Verdict.CONFIRMED]
 
 
 def test_response_to_a_trial_decides_between_two_unanswered_contents(clock):
     router = Router(clock)
-    lose_together(router, "new", "fatal")
+    abort_together(router, "new", "fatal")
     clock.now_s += 1.0
     assert router.quarantine.begin_trial("new")
     router.quarantine.record_response("new")
@@ -338,7 +338,7 @@
 def test_inconclusive_trial_is_repeated(clock):
     router = Router(clock)
     router.quarantine.record_response("c")
-    router.lose_at("a", "b", "d")
+    router.abort_at("a", "b", "d")
     clock.now_s += 1.0
     assert router.quarantine.begin_trial("c")
     router.quarantine.end_trial("c")
@@ -350,15 +350,15 @@
 
 
 def test_answered_content_that_begins_to_crash_endpoints_is_confirmed_by_a_trial(clock):
-    """As after a release of the engines that can't bear it."""
+    """For example after a release of the engines that crashes on it."""
     router = Router(clock)
     router.quarantine.record_response("c")
-    router.lose_at("a", "b", "d")
+    router.abort_at("a", "b", "d")
     assert verdicts(router, "c") == [Verdict.ON_TRIAL]
     assert router.quarantine.quarantine_left_s("c") <= 2.0
     clock.now_s += 1.0
     assert router.quarantine.begin_trial("c")
-    router.lose("e")
+    router.abort("e")
     assert verdicts(router, "c") == [Verdict.CONFIRMED]
     assert router.quarantine.quarantine_left_s("c") > 590.0
 
@@ -366,7 +366,7 @@
 def test_error_response_does_not_count_as_an_earlier_success(clock):
     router = Router(clock)
     router.quarantine.record_response("c", success=False)
-    router.lose_at("a", "b", "d")
+    router.abort_at("a", "b", "d")
     assert verdicts(router, "c") == [Verdict.CONFIRMED]
 
 
