--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -94,12 +94,12 @@
             limit.note_sent(self._clock())
 
     def _share(self, incarnation: str, per_s: float) -> RateShare:
-        rank = self._ranks.of(incarnation) if self._ranks.known else self._ranks.members
+        rank = self._ranks.rank_for(incarnation) if self._ranks.known else self._ranks.members
         return RateShare.from_rate(per_s, rank, self._ranks.members)
 
     # Exchange among routers.
 
-    def told(self) -> tuple[ToldLimit, ...]:
+    def announced(self) -> tuple[ToldLimit, ...]:
         """Return the recently received limits to announce, newest first."""
         now_s = self._clock()
         updates = [
@@ -116,7 +116,7 @@
         updates.sort(key=lambda update: update.age_ms)
         return tuple(updates[:_MAX_ANNOUNCED])
 
-    def take_in(self, updates: Iterable[ToldLimit]) -> None:
+    def merge(self, updates: Iterable[ToldLimit]) -> None:
         """Merge updates of another router."""
         now_s = self._clock()
         for update in updates:
--- a/turnward/quarantine/quarantine.py
+++ b/turnward/quarantine/quarantine.py
@@ -286,7 +286,7 @@
         self._rotation += 1
         return quarantined[self._rotation % len(quarantined)]
 
-    def take_in(self, update: QuarantineUpdate) -> None:
+    def merge(self, update: QuarantineUpdate) -> None:
         """Merge the update of another router."""
         now_s = self._clock()
         for run in update.completed:
--- a/turnward/quarantine/tests/test_quarantine.py
+++ b/turnward/quarantine/tests/test_quarantine.py
@@ -49,7 +49,7 @@
     def announce(self, *others):
         update = msgspec.msgpack.encode(self.quarantine.make_update())
         for other in others:
-            other.quarantine.take_in(msgspec.msgpack.decode(update, type=QuarantineUpdate))
+            other.quarantine.merge(msgspec.msgpack.decode(update, type=QuarantineUpdate))
 
 
 @pytest.fixture
@@ -175,7 +175,7 @@
         clock.now_s += 0.25
         update = routers[turn % 3].quarantine.make_update()
         clock.now_s += 0.02
-        routers[(turn + 1) % 3].quarantine.take_in(update)
+        routers[(turn + 1) % 3].quarantine.merge(update)
     left_s = RULE.quarantine_s - 400 * 0.27
     for router in routers:
         assert router.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.5)
