--- a/turnward/gateway/tests/test_harmless_requests.py
+++ b/turnward/gateway/tests/test_harmless_requests.py
@@ -98,13 +98,14 @@
     def late_sends(self):
         """Return the largest number of late sends of any body that crashes engines."""
         simulation = self.simulation
-        third_s = {
+        third_crash_s = {
             body: simulation.third_crash_s(body)
             for body in self._fatal
             if simulation.crash_count(body) > 2
         }
         late = [
-            simulation.sends_after(body, crash_s + ANNOUNCED_S) for body, crash_s in third_s.items()
+            simulation.sends_after(body, crash_s + ANNOUNCED_S)
+            for body, crash_s in third_crash_s.items()
         ]
         return max(late, default=0)
 
--- a/turnward/quarantine/quarantine.py
+++ b/turnward/quarantine/quarantine.py
@@ -360,20 +360,20 @@
             return Verdict.CONFIRMED
         others = [
             other
-            for name, other in self._suspects.items()
-            if name != content and not other.answered and other.aborts
+            for other_content, other in self._suspects.items()
+            if other_content != content and not other.answered and other.aborts
         ]
         if self._is_explained(suspect, others):
             return Verdict.ALLOWED
         explained = explained_endpoints(suspect, filter(self._is_suspicious, others))
-        if suspect.answered or self._has_too_few(suspect, explained):
+        if suspect.answered or self._has_too_few_unexplained(suspect, explained):
             return Verdict.ON_TRIAL
         return Verdict.CONFIRMED
 
     def _is_explained(self, suspect: Suspect, others: list[Suspect]) -> bool:
         """Return whether unanswered contents explain too many aborts of a content to suspect it."""
         if not suspect.answered:
-            return self._has_too_few(
+            return self._has_too_few_unexplained(
                 suspect,
                 explained_endpoints(suspect, (other for other in others if other.failed_trial)),
             )
@@ -384,9 +384,9 @@
         )
         if len(most_common) >= _MIN_COMMON_ABORTS:
             explained |= most_common
-        return self._has_too_few(suspect, explained)
+        return self._has_too_few_unexplained(suspect, explained)
 
-    def _has_too_few(self, suspect: Suspect, explained: AbstractSet[str]) -> bool:
+    def _has_too_few_unexplained(self, suspect: Suspect, explained: AbstractSet[str]) -> bool:
         """Return whether too few unexplained aborts remain for a quarantine."""
         return len(suspect.aborts) - len(explained) < self._rule.min_endpoints
 
