--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -26,7 +26,7 @@
     raw_answer,
     stream_events,
 )
-from turnward.gateway.tests.test_crashing_requests import trouble
+from turnward.gateway.tests.test_crashing_requests import inject_fault
 from turnward.gateway.tests.test_forwarding import error_reason
 from turnward.http1 import OutboundPool
 
@@ -278,7 +278,7 @@
         harness = self.simulation.harness
         kind = self.rng.choice(("frozen", "apart", "restarted", "store"))
         before = list(harness.gateways)
-        self.end_fault = trouble(self.simulation, self.rng, kind)
+        self.end_fault = inject_fault(self.simulation, self.rng, kind)
         for machine, old, new in zip(harness.machines, before, harness.gateways, strict=True):
             if old is not new:
                 self.simulation.note_restart(machine.host)
--- a/turnward/gateway/tests/test_tokens_after_rollback.py
+++ b/turnward/gateway/tests/test_tokens_after_rollback.py
@@ -101,7 +101,7 @@
         else:
             client = rng.choice(simulation.harness.clients)
             client.faults.unavailable = True
-            heal = partial(setattr, client.faults, "away", False)
+            heal = partial(setattr, client.faults, "unavailable", False)
             simulation.harness.network.clock.callLater(rng.uniform(0.5, 5.0), heal)
         if rng.random() < 0.3:
             simulation.harness.rows.faults.late_share = 0.2
@@ -152,7 +152,7 @@
 
 
 def test_unclaimed_tokens_are_spent_twice_without_updates(monkeypatch):
-    monkeypatch.setattr(AccountUpdates, "take_in", lambda *_: None)
+    monkeypatch.setattr(AccountUpdates, "merge", lambda *_: None)
     # The other router must not know the row from its own reads and writes either.
     monkeypatch.setattr(AccountUpdates, "record_read", lambda *_: None)
     monkeypatch.setattr(AccountUpdates, "record_written", lambda *_: None)
