--- a/turnward/gateway/account_updates.py
+++ b/turnward/gateway/account_updates.py
@@ -79,7 +79,7 @@
     >>> updates = AccountUpdates(lambda: 0.0, eras)
     >>> updates.record_written("acme", RowVersion.of(1, 7), 500)
     >>> updates.merge([AccountUpdate("acme", 1, 6, 900)])
-    >>> updates.latest("acme").tokens, len(updates.told())
+    >>> updates.latest("acme").tokens, len(updates.announced())
     (500, 1)
     """
 
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -191,7 +191,7 @@
     ranks._book.members_read = True
     for number in range(2, members + 1):
         ranks._book.add_member(f"10.0.0.{number}:1", "z")
-    ranks.of = lambda key: rank
+    ranks.rank_for = lambda key: rank
     return ranks
 
 
