--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -292,7 +292,7 @@
         self.process = RouterProcess(self.context)
         self._chat = ChatServer(self.context, self.process.desk)
         self._services = ServiceServer(self.context, self.process.desk)
-        defer.ensureDeferred(self.process.start_parts())
+        defer.ensureDeferred(self.process.start_tasks())
 
     def deliver(self, thunk) -> None:
         """Run a network event now, or when the router runs again."""
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -355,7 +355,7 @@
         for router in fleet.routers:
             if router.process.core.incarnation == row.holders[shard % 2]:
                 router.process.pairs.holder.freeze(shard)
-                router.process.pairs.note_stale()
+                router.process.pairs.mark_stale()
     fleet.advance(3.0)
     for wave in range(2):
         # A sender with an old view is told so once, and reads the rows again.
--- a/turnward/callers/chat.py
+++ b/turnward/callers/chat.py
@@ -225,7 +225,9 @@
         return msgspec.json.encode(fields)
 
     async def _attempts(self, flight: Flight, chat: ChatRequest, body: bytes, answer) -> None:
-        retries = self._context.retries(flight.workspace.name, flight.workspace.retry_share)
+        retry_budget = self._context.retry_budget(
+            flight.workspace.name, flight.workspace.retry_share
+        )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
             last = attempt == ATTEMPT_LIMIT
             self._desk.choose(flight, chat.prefix(), chat.prompt_limit_tokens())
@@ -236,20 +238,20 @@
                 await self._run(flight, body, relay, answer)
             except NotRunError as failure:
                 self._desk.returned(flight, ok=False)
-                if not last and retries.take():
+                if not last and retry_budget.take():
                     continue
                 raise RefusedError(self._endpoint_refused(failure)) from failure
             except RunUncertainError as failure:
                 self._desk.returned(flight, ok=False)
                 self._desk.note_uncertain(flight)
                 unseen = relay.relayed_events == 0 and not answer.caller_gone
-                if unseen and not last and retries.take():
+                if unseen and not last and retry_budget.take():
                     await self._cancel(flight)
                     continue
                 await self._end_cut(flight, relay.relayed_events, answer, str(failure))
                 return
             self._desk.returned(flight, ok=True)
-            retries.note_success()
+            retry_budget.record_success()
             await self._end_whole(flight, relay, answer)
             return
 
--- a/turnward/callers/claim_desk.py
+++ b/turnward/callers/claim_desk.py
@@ -20,8 +20,8 @@
 )
 from turnward.fleet import RouterState, router_key
 from turnward.ids import creation_time_s
-from turnward.router.claim_task import KeepClaim, ReleaseClaim, WantClaim
-from turnward.router.pair_task import LookAgain, ReleaseHeld, WantHeld
+from turnward.router.claim_task import KeepClaim, ReleaseClaim, TakeClaim
+from turnward.router.pair_task import ClaimAtHolders, RefreshShards, ReleaseAtHolders
 from turnward.store import PlatformError, Put
 
 __all__ = ["ClaimDesk", "outcome_writes"]
@@ -63,7 +63,7 @@
                 return taken
             if self._context.now_s() >= until_s:
                 break
-            self._context.pairs.tell(LookAgain())
+            self._context.pairs.tell(RefreshShards())
             await task.deferLater(self._context.reactor, pause_s)
         self.release(flight, claim)
         raise RefusedError(_claims_unreachable())
@@ -104,7 +104,7 @@
     async def _hold(self, claim: ClaimRow) -> HoldAnswer:
         """Have both holders of the claim's shard record it."""
         answer: Deferred = Deferred()
-        self._context.pairs.tell(WantHeld(claim, answer))
+        self._context.pairs.tell(ClaimAtHolders(claim, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
@@ -137,14 +137,14 @@
         closed has written the claim of each record, so this one was never sent.
         """
         freed = msgspec.structs.replace(claim, token=standing.token)
-        self._context.pairs.tell(ReleaseHeld(freed))
+        self._context.pairs.tell(ReleaseAtHolders(freed))
         raise RefusedError(
             Refusal(Reason.IN_PROGRESS, "an abandoned claim is being freed", retry_after_s=2)
         )
 
     async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimAnswer:
         answer: Deferred = Deferred()
-        flight.core.claims.tell(WantClaim(claim, epoch, answer))
+        flight.core.claims.tell(TakeClaim(claim, epoch, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
@@ -162,7 +162,7 @@
     def release(self, flight: Flight, claim: ClaimRow) -> None:
         """Give a claim up whose call was not sent."""
         flight.core.claims.tell(ReleaseClaim(claim))
-        self._context.pairs.tell(ReleaseHeld(claim))
+        self._context.pairs.tell(ReleaseAtHolders(claim))
 
     def _judge_standing(self, standing: ClaimRow, claim: ClaimRow) -> StoredAnswer:
         if standing.fingerprint != claim.fingerprint:
--- a/turnward/callers/desk.py
+++ b/turnward/callers/desk.py
@@ -16,8 +16,8 @@
 from turnward.ids import new_id
 from turnward.peers.messages import RecordState, RunRecord, stored_record_key
 from turnward.router.bill_task import AddBill
-from turnward.router.grant_task import WantTokens
-from turnward.router.record_task import HoldRecord
+from turnward.router.grant_task import RequestTokens
+from turnward.router.record_task import ReplicateRecord
 from turnward.routing import Choice, RouteRequest
 from turnward.store import Committed, Delete, PlatformError, Put, Transaction, Write
 
@@ -153,7 +153,7 @@
 
     async def _want(self, flight: Flight, limit_s: float) -> bool:
         answer: Deferred = Deferred()
-        flight.core.grants.tell(WantTokens(flight.workspace.budget, answer))
+        flight.core.grants.tell(RequestTokens(flight.workspace.budget, answer))
         try:
             return await answer.addTimeout(limit_s, self._context.reactor)
         except defer.TimeoutError:
@@ -242,7 +242,7 @@
         if flight.core.fenced:
             return False
         answer: Deferred = Deferred()
-        flight.core.records.tell(HoldRecord(record, answer))
+        flight.core.records.tell(ReplicateRecord(record, answer))
         try:
             held = await answer.addTimeout(
                 self._context.settings.peer_timeout_s * 2, self._context.reactor
--- a/turnward/callers/services.py
+++ b/turnward/callers/services.py
@@ -106,7 +106,9 @@
             raise
 
     async def _run_repeatable(self, flight: Flight, call, pool: Pool, answer) -> None:
-        retries = self._context.retries(flight.workspace.name, flight.workspace.retry_share)
+        retry_budget = self._context.retry_budget(
+            flight.workspace.name, flight.workspace.retry_share
+        )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
             self._desk.choose(flight, "", 0)
             await self._desk.hold(flight)
@@ -115,11 +117,11 @@
             except (NotRunError, RunUncertainError) as failure:
                 if isinstance(failure, RunUncertainError):
                     self._desk.note_uncertain(flight)
-                if attempt < ATTEMPT_LIMIT and retries.take():
+                if attempt < ATTEMPT_LIMIT and retry_budget.take():
                     continue
                 refusal = Refusal(Reason.ENDPOINT_FAILED, str(failure), retry_after_s=1)
                 raise RefusedError(refusal) from failure
-            retries.note_success()
+            retry_budget.record_success()
             self._desk.bill(flight, pool.tokens_per_call)
             _pass_on(answer, response, flight.request_id)
             return
@@ -145,14 +147,16 @@
             raise
 
     async def _send_claimed(self, flight: Flight, call, pool: Pool, claim, answer) -> None:
-        retries = self._context.retries(flight.workspace.name, flight.workspace.retry_share)
+        retry_budget = self._context.retry_budget(
+            flight.workspace.name, flight.workspace.retry_share
+        )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
             self._desk.choose(flight, "", 0)
             await self._desk.hold(flight)
             try:
                 response = await self._send(flight, call)
             except NotRunError as failure:
-                if attempt < ATTEMPT_LIMIT and retries.take():
+                if attempt < ATTEMPT_LIMIT and retry_budget.take():
                     continue
                 raise RefusedError(
                     Refusal(Reason.ENDPOINT_REFUSED, str(failure), retry_after_s=1)
--- a/turnward/callers/tests/test_claim_desk.py
+++ b/turnward/callers/tests/test_claim_desk.py
@@ -7,8 +7,8 @@
 from turnward.callers.claim_desk import CLAIM_WAIT_S, ClaimDesk
 from turnward.callers.problems import RefusedError
 from turnward.claims import ClaimAnswer, ClaimOutcome, ClaimRow, HoldAnswer, HoldOutcome
-from turnward.router.claim_task import ReleaseClaim, WantClaim
-from turnward.router.pair_task import LookAgain, ReleaseHeld, WantHeld
+from turnward.router.claim_task import ReleaseClaim, TakeClaim
+from turnward.router.pair_task import ClaimAtHolders, RefreshShards, ReleaseAtHolders
 
 CLAIM = ClaimRow("r-1", "acme", "inc", "token", "print")
 
@@ -30,9 +30,9 @@
 
     def tell(self, message):
         self.messages.append(message)
-        if isinstance(message, WantHeld):
+        if isinstance(message, ClaimAtHolders):
             message.answer.callback(HoldAnswer(self.answers.pop(0)))
-        elif isinstance(message, LookAgain):
+        elif isinstance(message, RefreshShards):
             self.known = True
 
 
@@ -45,7 +45,7 @@
 
     def tell(self, message):
         self.messages.append(message)
-        if isinstance(message, WantClaim):
+        if isinstance(message, TakeClaim):
             message.answer.callback(ClaimAnswer(self.answers.pop(0)))
 
 
@@ -88,4 +88,4 @@
     failure = world.run()
     assert failure.check(RefusedError)
     assert any(isinstance(message, ReleaseClaim) for message in world.claims.messages)
-    assert any(isinstance(message, ReleaseHeld) for message in world.pairs.messages)
+    assert any(isinstance(message, ReleaseAtHolders) for message in world.pairs.messages)
--- a/turnward/replay/simulation.py
+++ b/turnward/replay/simulation.py
@@ -202,7 +202,7 @@
             case Result(tag="ok", ok=ticket):
                 flight.ticket = ticket
                 limit_s = self._rules[request.priority_class].max_wait_s
-                self._at(self.now_s + limit_s + 1e-6, router.queue.pump, self.now_s + limit_s)
+                self._at(self.now_s + limit_s + 1e-6, router.queue.dispatch, self.now_s + limit_s)
             case _:
                 self._refuse(flight)
 
@@ -290,7 +290,7 @@
         router.views.ended(flight.view, True, self.now_s - flight.sent_s, self.now_s)
         router.retries.setdefault(
             request.workspace, RetryBudget(max(0.0, self._options.retry_share))
-        ).note_success()
+        ).record_success()
         router.queue.end(flight.ticket, self.now_s - flight.admitted_s, self.now_s)
         self._open -= 1
 
@@ -299,12 +299,12 @@
         for router in self._routers:
             for view in router.views.all():
                 if self._is_out():
-                    router.views.unheard(view, self.now_s)
+                    router.views.report_failed(view, self.now_s)
                 else:
                     report = self._engines[view.name].report(self.now_s, lag_s)
-                    router.views.heard(view, report, self.now_s)
-                    router.views.warm(view, self.now_s)
-            router.queue.pump(self.now_s)
+                    router.views.report_received(view, report, self.now_s)
+                    router.views.end_slow_start(view, self.now_s)
+            router.queue.dispatch(self.now_s)
         self._at(self.now_s + REPORT_PERIOD_S, self._reports)
 
     def _leave(self) -> None:
--- a/turnward/router/bill_task.py
+++ b/turnward/router/bill_task.py
@@ -8,7 +8,7 @@
 from turnward.peers.messages import RecordState, RunRecord
 from turnward.router.task import TaskBase, Tick
 
-__all__ = ["AddBill", "BillTask", "FlushAll"]
+__all__ = ["AddBill", "BillTask", "FlushBills"]
 
 #: Seconds between looks at the waiting bills.
 TICK_S = 0.1
@@ -21,7 +21,7 @@
     record: RunRecord
 
 
-class FlushAll(msgspec.Struct, frozen=True, eq=False):
+class FlushBills(msgspec.Struct, frozen=True, eq=False):
     """Write everything; the answer is how many bills still wait."""
 
     answer: Deferred
@@ -55,7 +55,7 @@
         for message in messages:
             if isinstance(message, AddBill):
                 self._add(message)
-        flushes = [message for message in messages if isinstance(message, FlushAll)]
+        flushes = [message for message in messages if isinstance(message, FlushBills)]
         try:
             if flushes or (Tick() in messages and self._is_due()):
                 self._flushed_s = self._context.now_s()
--- a/turnward/router/claim_task.py
+++ b/turnward/router/claim_task.py
@@ -7,10 +7,10 @@
 from turnward.claims import ClaimAnswer, ClaimRegister, ClaimRow
 from turnward.router.task import TaskBase, Tick
 
-__all__ = ["ClaimTask", "KeepClaim", "ReleaseClaim", "WantClaim"]
+__all__ = ["ClaimTask", "KeepClaim", "ReleaseClaim", "TakeClaim"]
 
 
-class WantClaim(msgspec.Struct, frozen=True, eq=False):
+class TakeClaim(msgspec.Struct, frozen=True, eq=False):
     """A call waits for its claim; the answer is a ``ClaimAnswer``."""
 
     row: ClaimRow
@@ -42,7 +42,7 @@
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
         for message in messages:
-            if isinstance(message, WantClaim):
+            if isinstance(message, TakeClaim):
                 self.register.claim(message.row, message.epoch).addCallback(
                     self._answer, message.answer
                 )
--- a/turnward/router/config_task.py
+++ b/turnward/router/config_task.py
@@ -8,13 +8,13 @@
 from turnward.router.task import TaskBase
 from turnward.store import PlatformError
 
-__all__ = ["ConfigTask", "PeerHasRevision"]
+__all__ = ["ConfigTask", "PeerRevision"]
 
 #: Entries kept for peers that are cut off from the store.
 KEPT_ENTRIES = 2_000
 
 
-class PeerHasRevision(msgspec.Struct, frozen=True):
+class PeerRevision(msgspec.Struct, frozen=True):
     """A peer holds a revision."""
 
     incarnation: str
@@ -38,7 +38,7 @@
         try:
             await self._follow_table()
         except PlatformError:
-            offers = [message for message in messages if isinstance(message, PeerHasRevision)]
+            offers = [message for message in messages if isinstance(message, PeerRevision)]
             if not offers:
                 raise
             await self._follow_peer(max(offers, key=lambda offer: offer.revision))
@@ -59,7 +59,7 @@
             if not self._take(entries):
                 return
 
-    async def _follow_peer(self, offer: PeerHasRevision) -> None:
+    async def _follow_peer(self, offer: PeerRevision) -> None:
         row = self._context.rows.get(offer.incarnation)
         if row is None or not self.loaded or offer.revision <= self._context.config.revision:
             return
--- a/turnward/router/context.py
+++ b/turnward/router/context.py
@@ -23,15 +23,15 @@
 from turnward.settings import RouterSettings
 from turnward.store import InstanceListBase, ObjectStoreBase, TableBase
 
-__all__ = ["SUBSET_ENDPOINTS", "RouterContext", "choose_subset"]
+__all__ = ["SUBSET_SIZE", "RouterContext", "choose_subset"]
 
 
 #: Endpoints of one pool that a router looks after.
-SUBSET_ENDPOINTS = 32
+SUBSET_SIZE = 32
 
 
 def choose_subset(instance: str, zone: str, endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Return the endpoints a router works with, at most ``SUBSET_ENDPOINTS`` a pool.
+    """Return the endpoints a router works with, at most ``SUBSET_SIZE`` a pool.
 
     Those of its own zone come first, then by rendezvous weight, so that load
     spreads evenly over routers and a new endpoint moves few others.
@@ -46,7 +46,7 @@
     return [
         endpoint
         for pool in pools.values()
-        for endpoint in sorted(pool, key=preference)[:SUBSET_ENDPOINTS]
+        for endpoint in sorted(pool, key=preference)[:SUBSET_SIZE]
     ]
 
 
@@ -65,7 +65,7 @@
         Router rows as last read, by incarnation.
     listed : set of str or None
         Instances on the platform's list as last read; None when it can't be read.
-    heard_s : dict of str to float
+    last_heartbeat_s : dict of str to float
         When a heartbeat of an incarnation last came, in monotonic seconds.
     """
 
@@ -101,8 +101,8 @@
         self.policy: PolicyBase = ScorePolicy()
         self.book = RecordBook()
         self.rows: dict[str, RouterRow] = {}
-        self.heard_s: dict[str, float] = {}
-        self.listed: set[str] | None = None
+        self.last_heartbeat_s: dict[str, float] = {}
+        self.listed_instances: set[str] | None = None
         self._pool_sizes: Counter[str] = Counter()
         self._queues: dict[str, AdmissionQueue] = {}
         self._retries: dict[str, RetryBudget] = {}
@@ -140,14 +140,14 @@
         routers = max(1, len(self.live_rows()))
         self.policy.fleet_size = routers
         queue.set_slots(admission_slots(whole_pool, routers))
-        queue.pump(self.now_s())
+        queue.dispatch(self.now_s())
 
     def refresh_queues(self) -> None:
         """Refresh every pool's queue."""
         for pool in list(self._queues):
             self.refresh_queue(pool)
 
-    def retries(self, workspace: str, share: float) -> RetryBudget:
+    def retry_budget(self, workspace: str, share: float) -> RetryBudget:
         """Return the retry budget of a workspace."""
         if workspace not in self._retries:
             self._retries[workspace] = RetryBudget(share)
--- a/turnward/router/endpoint_task.py
+++ b/turnward/router/endpoint_task.py
@@ -26,9 +26,9 @@
         """See ``TaskBase.handle``."""
         now_s = self._context.now_s()
         for view in self._context.views.all():
-            self._context.views.warm(view, now_s)
+            self._context.views.end_slow_start(view, now_s)
             if not self._is_engine(view):
-                self._context.views.forgive(view, now_s)
+                self._context.views.retry_suspect(view, now_s)
                 continue
             stale = view.report is None or now_s - view.reported_s >= STALE_S
             if stale and view.name not in self._asking:
@@ -45,9 +45,9 @@
         try:
             report = await self._context.engines.load(view.endpoint.url)
         except EndpointError:
-            self._context.views.unheard(view, self._context.now_s())
+            self._context.views.report_failed(view, self._context.now_s())
         else:
-            self._context.views.heard(view, report, self._context.now_s())
+            self._context.views.report_received(view, report, self._context.now_s())
         finally:
             self._asking.discard(view.name)
         if view.machine.state != before:
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -8,21 +8,21 @@
 from turnward.router.task import TaskBase, Tick
 from turnward.store import PlatformError
 
-__all__ = ["GrantTask", "ReturnAll", "WantTokens"]
+__all__ = ["GrantTask", "ReturnTokens", "RequestTokens"]
 
 
 #: Seconds between looks at every held budget.
 TEND_S = 1.0
 
 
-class WantTokens(msgspec.Struct, frozen=True, eq=False):
+class RequestTokens(msgspec.Struct, frozen=True, eq=False):
     """A request waits for tokens; the answer is True when it is worth trying again."""
 
     budget: str
     answer: Deferred
 
 
-class ReturnAll(msgspec.Struct, frozen=True, eq=False):
+class ReturnTokens(msgspec.Struct, frozen=True, eq=False):
     """Give every free token back; the answer is how many are still held."""
 
     answer: Deferred
@@ -53,7 +53,7 @@
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
-        waiters = [message for message in messages if isinstance(message, WantTokens)]
+        waiters = [message for message in messages if isinstance(message, RequestTokens)]
         try:
             await self._resolve()
             await self._take()
@@ -64,7 +64,7 @@
         if Tick() in messages and self._context.now_s() - self._tended_s >= TEND_S:
             await self._tend()
         for message in messages:
-            if isinstance(message, ReturnAll):
+            if isinstance(message, ReturnTokens):
                 await self._return_all(message)
 
     async def _take(self) -> None:
@@ -146,7 +146,7 @@
         ]
         await self.store.apply([change for change in changes if change is not None])
 
-    async def _return_all(self, message: ReturnAll) -> None:
+    async def _return_all(self, message: ReturnTokens) -> None:
         spare = {}
         for budget in self.ledger.budgets():
             if self.ledger.free_tokens(budget) > 0 or self.store.unfolded_tokens(budget):
--- a/turnward/router/membership_task.py
+++ b/turnward/router/membership_task.py
@@ -6,7 +6,7 @@
 from turnward.fleet import RouterRow, choose_buddies, rendezvous_weight
 from turnward.peers.errors import PeerError
 from turnward.peers.messages import Heartbeat, HeartbeatAck, StatusAsk, StatusReply
-from turnward.router.config_task import PeerHasRevision
+from turnward.router.config_task import PeerRevision
 from turnward.router.recovery_task import FenceRouter
 from turnward.router.task import TaskBase
 from turnward.store import PlatformError
@@ -78,9 +78,9 @@
         except PeerError:
             return
         if isinstance(answer, HeartbeatAck):
-            self._context.heard_s[row.incarnation] = self._context.now_s()
+            self._context.last_heartbeat_s[row.incarnation] = self._context.now_s()
             if answer.revision > self._context.config.revision:
-                self._config.tell(PeerHasRevision(row.incarnation, answer.revision))
+                self._config.tell(PeerRevision(row.incarnation, answer.revision))
 
     async def _renew_buddies(self) -> None:
         core = self._core()
@@ -105,11 +105,11 @@
             self._context.events.emit("fleet.buddies", buddies=",".join(chosen))
 
     async def _find_silent(self) -> None:
-        listed = self._context.listed = await self._listed()
+        listed_instances = self._context.listed_instances = await self._listed()
         for row in list(self._context.rows.values()):
             if not row.writable or row.incarnation == self._core().incarnation:
                 continue
-            off_list = listed is not None and row.instance not in listed
+            off_list = listed_instances is not None and row.instance not in listed_instances
             limit_s = self._silence_limit_s(row, off_list)
             if limit_s is not None and await self._is_gone(row, limit_s):
                 self._recovery.tell(FenceRouter(row.incarnation))
@@ -146,7 +146,7 @@
     async def _is_gone(self, row: RouterRow, limit_s: float) -> bool:
         now_s = self._context.now_s()
         first_s = self._first_seen_s.setdefault(row.incarnation, now_s)
-        silent_s = now_s - self._context.heard_s.get(row.incarnation, first_s)
+        silent_s = now_s - self._context.last_heartbeat_s.get(row.incarnation, first_s)
         if silent_s < limit_s or await self._answers(row):
             return False
         return not await self._heard_by_others(row, limit_s)
@@ -158,7 +158,7 @@
             )
         except PeerError:
             return False
-        self._context.heard_s[row.incarnation] = self._context.now_s()
+        self._context.last_heartbeat_s[row.incarnation] = self._context.now_s()
         return True
 
     async def _heard_by_others(self, row: RouterRow, limit_s: float) -> bool:
--- a/turnward/router/pair_task.py
+++ b/turnward/router/pair_task.py
@@ -35,13 +35,13 @@
     Transaction,
 )
 
-__all__ = ["LookAgain", "PairTask", "ReleaseHeld", "WantHeld"]
+__all__ = ["RefreshShards", "PairTask", "ReleaseAtHolders", "ClaimAtHolders"]
 
 #: Seconds between looks at the shards when nothing in the fleet has changed.
 LOOK_S = 30.0
 
 
-class WantHeld(msgspec.Struct, frozen=True, eq=False):
+class ClaimAtHolders(msgspec.Struct, frozen=True, eq=False):
     """A call waits until both holders have its claim.
 
     The answer is a ``HoldAnswer`` with the epoch it was given at.
@@ -51,13 +51,13 @@
     answer: defer.Deferred
 
 
-class ReleaseHeld(msgspec.Struct, frozen=True):
+class ReleaseAtHolders(msgspec.Struct, frozen=True):
     """The claimed call was proved not to have run."""
 
     row: ClaimRow
 
 
-class LookAgain(msgspec.Struct, frozen=True):
+class RefreshShards(msgspec.Struct, frozen=True):
     """A shard's row proved to be another than the one known here."""
 
 
@@ -88,13 +88,13 @@
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
         for message in messages:
-            if isinstance(message, WantHeld):
+            if isinstance(message, ClaimAtHolders):
                 defer.ensureDeferred(self._hold_and_answer(message))
-            elif isinstance(message, ReleaseHeld):
+            elif isinstance(message, ReleaseAtHolders):
                 key = claim_key(message.row.workspace, message.row.request_id)
                 self._unreleased[key] = message.row
-            elif isinstance(message, LookAgain):
-                self.note_stale()
+            elif isinstance(message, RefreshShards):
+                self.mark_stale()
         # First what needs no store: during an outage the rest fails.
         await self._release()
         if self._context.machine.state in ("serving", "leaving") and self._is_due():
@@ -112,7 +112,7 @@
             if not all(self._is_live(holder) for holder in row.holders)
         ]
 
-    def note_stale(self) -> None:
+    def mark_stale(self) -> None:
         """Have the shards' rows read again at the next turn."""
         self._stale = True
 
@@ -140,7 +140,7 @@
         self._looked_s = self._context.now_s()
         self._stale = False
 
-    async def _hold_and_answer(self, message: WantHeld) -> None:
+    async def _hold_and_answer(self, message: ClaimAtHolders) -> None:
         key = claim_key(message.row.workspace, message.row.request_id)
         claim = HeldClaim(key, message.row.token, message.row.fingerprint, message.row.incarnation)
         row = self.row_of(key)
@@ -281,14 +281,14 @@
         The second holder has them only once the first handed them over, so a
         second holder without them starts anew when the first is gone.
         """
-        listed = self._context.listed
+        listed_instances = self._context.listed_instances
         own = self._core().incarnation
         gone = [
             holder
             for holder in row.holders
-            if listed is not None
+            if listed_instances is not None
             and not self._is_live(holder)
-            and instance_of(holder) not in listed
+            and instance_of(holder) not in listed_instances
         ]
         if row.holders[0] not in gone:
             return False
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -30,13 +30,13 @@
     StatusAsk,
     StatusReply,
 )
-from turnward.router.bill_task import FlushAll
-from turnward.router.config_task import ConfigTask, PeerHasRevision
+from turnward.router.bill_task import FlushBills
+from turnward.router.config_task import ConfigTask, PeerRevision
 from turnward.router.context import RouterContext
 from turnward.router.core import RouterCore, new_incarnation
 from turnward.router.endpoint_task import EndpointTask
 from turnward.router.event_task import EventTask
-from turnward.router.grant_task import ReturnAll
+from turnward.router.grant_task import ReturnTokens
 from turnward.router.membership_task import MembershipTask
 from turnward.router.pair_task import PairTask
 from turnward.router.recovery_task import RecoveryTask
@@ -118,12 +118,12 @@
         states = StateReader(self.context, self.status)
         operators = OperatorsFace(self.context, states, self.leave)
         self._listen(settings.operators_address, server.Site(operators))
-        await self.start_parts()
+        await self.start_tasks()
         callers = CallersFace(self.context, self.desk)
         self._listen(settings.callers_address, LimitedSite(callers, settings))
         self._log.info("The router serves.", incarnation=self.core.incarnation)
 
-    async def start_parts(self) -> None:
+    async def start_tasks(self) -> None:
         """Register and start the tasks; everything but the listening ports."""
         await self._begin(self.core)
         for part in self._tasks:
@@ -192,9 +192,9 @@
         """Answer another router's message."""
         context = self.context
         if isinstance(message, Heartbeat):
-            context.heard_s[incarnation] = context.now_s()
+            context.last_heartbeat_s[incarnation] = context.now_s()
             if message.revision > context.config.revision:
-                self.config.tell(PeerHasRevision(incarnation, message.revision))
+                self.config.tell(PeerRevision(incarnation, message.revision))
             return HeartbeatAck(context.config.revision)
         if isinstance(message, PutRecords):
             return RecordsAck(context.book.put(incarnation, message.records, message.dropped))
@@ -222,8 +222,8 @@
     def _status_body(self, kind: str):
         name, _, rest = kind.partition("/")
         if name == "silent":
-            heard_s = self.context.heard_s.get(rest)
-            return None if heard_s is None else self.context.now_s() - heard_s
+            last_heartbeat_s = self.context.last_heartbeat_s.get(rest)
+            return None if last_heartbeat_s is None else self.context.now_s() - last_heartbeat_s
         if name == "events":
             wanted = msgspec.json.decode(rest.encode())
             return [event for event in self.context.events.recent() if matches(event, **wanted)]
@@ -295,11 +295,11 @@
     async def _emptied(self) -> bool:
         """Flush bills, return grants, and tell whether nobody depends on this router."""
         bills_left: defer.Deferred = defer.Deferred()
-        self.core.bills.tell(FlushAll(bills_left))
+        self.core.bills.tell(FlushBills(bills_left))
         if await bills_left:
             return False
         held: defer.Deferred = defer.Deferred()
-        self.core.grants.tell(ReturnAll(held))
+        self.core.grants.tell(ReturnTokens(held))
         if await held:
             return False
         own = self.core.incarnation
--- a/turnward/router/record_task.py
+++ b/turnward/router/record_task.py
@@ -10,7 +10,7 @@
 from turnward.peers.messages import PutRecords, RecordsAck, RecordState, RunRecord
 from turnward.router.task import TaskBase, Tick
 
-__all__ = ["HoldRecord", "RecordTask"]
+__all__ = ["ReplicateRecord", "RecordTask"]
 
 #: Seconds for which a buddy that did not acknowledge is left alone.
 REST_S = 0.5
@@ -21,7 +21,7 @@
 BATCH_RECORDS = 200
 
 
-class HoldRecord(msgspec.Struct, frozen=True, eq=False):
+class ReplicateRecord(msgspec.Struct, frozen=True, eq=False):
     """A request waits until a buddy holds its record; the answer is True or False."""
 
     record: RunRecord
@@ -56,7 +56,7 @@
         self._refused = on_fenced
         self.outbox = RecordOutbox()
         self.buddies: tuple[str, ...] = ()
-        self._waiting: dict[str, HoldRecord] = {}
+        self._waiting: dict[str, ReplicateRecord] = {}
         self._sending: set[str] = set()
         self._failed: set[str] = set()
         self._lazy_s = context.now_s()
@@ -75,7 +75,7 @@
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
         for message in messages:
-            if isinstance(message, HoldRecord):
+            if isinstance(message, ReplicateRecord):
                 self._hold(message)
             elif isinstance(message, _Sent):
                 self._take_answer(message)
@@ -96,7 +96,7 @@
             self._lazy_s = now_s
         return due
 
-    def _hold(self, message: HoldRecord) -> None:
+    def _hold(self, message: ReplicateRecord) -> None:
         self.outbox.put(message.record)
         if self.buddies:
             self._waiting[message.record.run_id] = message
--- a/turnward/router/recovery_task.py
+++ b/turnward/router/recovery_task.py
@@ -77,7 +77,7 @@
             return
         try:
             state = await self._recoverer.step(
-                fresh[row.incarnation], own, fresh, self._context.listed
+                fresh[row.incarnation], own, fresh, self._context.listed_instances
             )
         except PlatformError as failure:
             self.log.info("A recovery waits for the platform.", cause=str(failure))
--- a/turnward/routing/admission.py
+++ b/turnward/routing/admission.py
@@ -75,7 +75,7 @@
 
     priority_class: str
     enqueued_s: float
-    admitted: Callable[[bool], None]
+    on_decision: Callable[[bool], None]
     running: bool = False
 
 
@@ -119,7 +119,7 @@
         self._low_slots = slots if low_slots is None else low_slots
 
     def offer(
-        self, priority_class: str, now_s: float, admitted: Callable[[bool], None]
+        self, priority_class: str, now_s: float, on_decision: Callable[[bool], None]
     ) -> Result[Ticket, Overload]:
         """Queue a request, or refuse it at once when it would wait too long."""
         rule = self._classes[priority_class]
@@ -127,9 +127,9 @@
         wait_s = self._expected_wait_s(rule)
         if len(queue) >= rule.queue_limit or wait_s > rule.max_wait_s:
             return Error(Overload(max(1.0, wait_s)))
-        ticket = Ticket(priority_class, now_s, admitted)
+        ticket = Ticket(priority_class, now_s, on_decision)
         queue.append(ticket)
-        self.pump(now_s)
+        self.dispatch(now_s)
         return Ok(ticket)
 
     def end(self, ticket: Ticket, service_s: float, now_s: float) -> None:
@@ -138,7 +138,7 @@
             ticket.running = False
             self._running[ticket.priority_class] -= 1
             self._mean_service_s += 0.1 * (service_s - self._mean_service_s)
-        self.pump(now_s)
+        self.dispatch(now_s)
 
     def withdraw(self, ticket: Ticket) -> None:
         """Take a waiting request out."""
@@ -146,7 +146,7 @@
         if ticket in queue:
             queue.remove(ticket)
 
-    def pump(self, now_s: float) -> None:
+    def dispatch(self, now_s: float) -> None:
         """Give up requests that waited too long and admit those that fit."""
         self._give_up(now_s)
         while self.running_count < self._slots:
@@ -156,13 +156,13 @@
             ticket.running = True
             running = self._running.get(ticket.priority_class, 0)
             self._running[ticket.priority_class] = running + 1
-            ticket.admitted(True)
+            ticket.on_decision(True)
 
     def _give_up(self, now_s: float) -> None:
         for name, queue in self._queues.items():
             limit_s = self._classes[name].max_wait_s
             while queue and now_s - queue[0].enqueued_s > limit_s:
-                queue.popleft().admitted(False)
+                queue.popleft().on_decision(False)
 
     def _next_ticket(self) -> Ticket | None:
         waiting = [name for name, queue in self._queues.items() if queue and self._may_run(name)]
--- a/turnward/routing/retries.py
+++ b/turnward/routing/retries.py
@@ -22,7 +22,7 @@
         self._burst = burst
         self._level = burst
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Earn a part of a retry."""
         self._level = min(self._burst, self._level + self._share)
 
--- a/turnward/routing/tests/test_routing.py
+++ b/turnward/routing/tests/test_routing.py
@@ -20,7 +20,7 @@
     return queue.offer(name, now_s, lambda ok: admitted.append((name, ok)))
 
 
-def test_urgent_class_goes_first_and_slots_are_kept_for_it():
+def test_urgent_class_is_admitted_first_and_has_reserved_slots():
     queue, admitted = AdmissionQueue(CLASSES), []
     queue.set_slots(4, 2)
     for _ in range(4):
@@ -31,7 +31,7 @@
     assert admitted[2:] == [("till", True)] * 2
 
 
-def test_request_that_would_wait_too_long_is_refused_at_once():
+def test_request_that_would_wait_too_long_is_rejected_immediately():
     queue, admitted = AdmissionQueue(CLASSES), []
     queue.set_slots(1)
     ticket = offer(queue, "till", admitted).ok
@@ -42,12 +42,12 @@
     assert refused.error.retry_after_s >= 1.0
 
 
-def test_waiting_request_is_given_up_at_its_limit():
+def test_waiting_request_expires_at_its_wait_limit():
     queue, admitted = AdmissionQueue(CLASSES), []
     queue.set_slots(1)
     offer(queue, "till", admitted)
     offer(queue, "till", admitted)
-    queue.pump(1.1)
+    queue.dispatch(1.1)
     assert admitted == [("till", True), ("till", False)]
 
 
@@ -56,7 +56,7 @@
     order=st.lists(st.sampled_from(["till", "statement", "end"]), max_size=40),
     slots=st.integers(1, 5),
 )
-def test_admission_agrees_with_a_naive_count(order, slots):
+def test_admission_fills_all_slots_and_never_exceeds_them(order, slots):
     """Differential: never above the slots, and nobody waits while a slot is free."""
     queue, running, waiting = AdmissionQueue(CLASSES), [], []
     queue.set_slots(slots)
@@ -84,7 +84,7 @@
     return views
 
 
-def test_failing_endpoint_is_ejected_but_never_more_than_half():
+def test_failing_endpoints_are_ejected_up_to_half_of_the_pool():
     views = views_of(4)
     for view in views.all()[:3]:
         for _ in range(3):
@@ -93,21 +93,21 @@
     assert len(views.candidates("p")) == 2
 
 
-def test_suspect_endpoint_returns_slowly():
+def test_suspect_endpoint_returns_with_slow_start():
     views = views_of(2)
     view = views.all()[0]
     for _ in range(3):
         views.sent(view)
         views.ended(view, False, 0.0, 1.0)
     assert not view.takes_work
-    views.heard(view, LoadReport(0, 0), 2.0)
+    views.report_received(view, LoadReport(0, 0), 2.0)
     assert view.takes_work
     assert view.share(2.0) < view.share(4.0) < view.share(7.0) == 1.0
 
 
-def test_leaving_endpoint_takes_no_work():
+def test_draining_endpoint_gets_no_requests():
     views = views_of(2)
-    views.heard(views.all()[0], LoadReport(0, 0, leaving=True), 1.0)
+    views.report_received(views.all()[0], LoadReport(0, 0, leaving=True), 1.0)
     assert [view.name for view in views.candidates("p")] == ["e1"]
 
 
@@ -121,13 +121,13 @@
 def test_retry_budget_is_a_share_of_successes():
     budget = RetryBudget(share=0.5, burst=2.0)
     assert [budget.take() for _ in range(3)] == [True, True, False]
-    budget.note_success()
+    budget.record_success()
     assert not budget.take()
-    budget.note_success()
+    budget.record_success()
     assert budget.take()
 
 
-def test_retry_storm_stays_within_a_fifth_more_work():
+def test_retry_budget_limits_attempts_in_an_outage():
     trace = GENERATORS["saturday-burst"](load=0.6, duration_s=20.0)
     outage = ReplayOptions(outage_s=(5.0, 10.0))
     report = replay(trace, "score", POLICIES["score"], outage)
@@ -144,7 +144,7 @@
     assert ours.first_token_mean_s <= 0.7 * naive.first_token_mean_s
 
 
-def test_leaving_engine_gets_no_work_though_load_reports_are_late():
+def test_draining_engine_gets_no_requests_despite_late_load_reports():
     trace = GENERATORS["saturday-burst"](load=0.6, duration_s=20.0)
     options = ReplayOptions(leave_s=10.0, report_lag_s=2.0)
     report = replay(trace, "score", POLICIES["score"], options)
--- a/turnward/routing/views.py
+++ b/turnward/routing/views.py
@@ -117,7 +117,7 @@
         if ok:
             view.failures = 0
             view.mean_service_s += 0.1 * (service_s - view.mean_service_s)
-            self.warm(view, now_s)
+            self.end_slow_start(view, now_s)
             return
         view.failures += 1
         if view.failures >= FAILURES_TO_EJECT and self._may_eject(view):
@@ -127,18 +127,18 @@
         if view.machine.fire("failed"):
             view.ejected_s = now_s
 
-    def forgive(self, view: EndpointView, now_s: float) -> None:
+    def retry_suspect(self, view: EndpointView, now_s: float) -> None:
         """Let a suspect endpoint that reports no load try again after a while."""
         if now_s - view.ejected_s >= FORGIVE_S and view.machine.fire("answered"):
             view.joined_s = now_s
             view.failures = 0
 
-    def warm(self, view: EndpointView, now_s: float) -> None:
+    def end_slow_start(self, view: EndpointView, now_s: float) -> None:
         """End the slow start once its time is over."""
         if now_s - view.joined_s >= SLOW_START_S:
             view.machine.fire("warmed")
 
-    def heard(self, view: EndpointView, report: LoadReport, now_s: float) -> None:
+    def report_received(self, view: EndpointView, report: LoadReport, now_s: float) -> None:
         """Take in a load report."""
         view.report = report
         view.reported_s = now_s
@@ -148,7 +148,7 @@
             view.joined_s = now_s
             view.failures = 0
 
-    def unheard(self, view: EndpointView, now_s: float) -> None:
+    def report_failed(self, view: EndpointView, now_s: float) -> None:
         """Note that an endpoint did not answer a load question."""
         view.failures += 1
         if view.failures >= FAILURES_TO_EJECT and self._may_eject(view):
