--- a/turnward/__init__.py
+++ b/turnward/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""turnward: a router fleet for prepaid token budgets."""
+"""turnward: a fleet of request routers that enforce prepaid token budgets."""
 
 __all__ = ["__version__"]
 
--- a/turnward/clocks.py
+++ b/turnward/clocks.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Clocks: one by which ages, leases and limits are counted, and the time of day.
+"""A steady clock for ages, leases and limits, and the wall clock.
 
-The time of day steps, so nothing is counted by it. ``CLOCK_MONOTONIC`` stands still while the
-machine is suspended, so a lease would look younger than it is.
+Wall-clock time can be adjusted in steps, so no durations are measured by it. ``CLOCK_MONOTONIC``
+stops while the machine is suspended, so a lease would appear younger than it is.
 """
 
 import time
@@ -16,7 +16,7 @@
 
     @abstractmethod
     def now_s(self) -> float:
-        """Return a steady time in seconds: it neither steps nor stands still in a pause."""
+        """Return steady time in seconds; it neither jumps nor stops during a suspension."""
 
     @abstractmethod
     def wall_s(self) -> float:
@@ -27,7 +27,7 @@
     """The machine's clocks."""
 
     def now_s(self):
-        """See ``ClockBase.now_s``; the time since the machine's start, suspensions included."""
+        """See ``ClockBase.now_s``; the time since boot, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall_s(self):
@@ -36,7 +36,7 @@
 
 
 class ManualClock(ClockBase):
-    """A clock that stands still until it is moved."""
+    """A clock that changes only when it is advanced, for tests."""
 
     def __init__(self, start_s: float = 1_000.0):
         self._now_s = start_s
@@ -50,5 +50,5 @@
         return self._now_s
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on."""
+        """Move the clock forward."""
         self._now_s += seconds
--- a/turnward/gateway/__init__.py
+++ b/turnward/gateway/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The gateway: passes requests through to pools of endpoints, under budgets and rules."""
+"""The gateway: forwards requests to pools of endpoints within the workspaces' budgets."""
 
 from turnward.gateway.configuration import (
     Configuration,
--- a/turnward/gateway/configuration.py
+++ b/turnward/gateway/configuration.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What operators configure for the gateway, and the endpoints that stand behind it."""
+"""Routes, pools and workspaces that operators configure, and the entries of endpoints."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class RetryPolicy:
-    """How often a request of a route may run; values of ``Route.repeat``."""
+    """Whether a request of a route may run more than once; values of ``Route.repeat``."""
 
     ANY = "any"
     ONCE = "once"
@@ -33,34 +33,35 @@
 
 
 class WeightedPool(msgspec.Struct, frozen=True):
-    """A pool that takes a share of a route's requests."""
+    """A pool that receives a share of a route's requests."""
 
     pool: str
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Which requests go to which pools, and under what rules.
+    """Which requests go to which pools, and how they are handled.
 
     Attributes
     ----------
     path_prefix : str
-        Begins and ends with a slash; the longest that fits a path wins.
+        Begins and ends with a slash; the longest matching prefix applies.
     repeat : str
         ``any``: a request may run more than once. ``once``: at most once.
-        ``stream``: an event stream, at most once unless ``resumable``.
+        ``stream``: the response is an event stream, and the request runs at most once unless
+        ``resumable``.
     time_limit_s : float
-        Longest that a request is held.
+        Longest total time for a request, including retries.
     target_s : float
-        Time within which an answer, or its first event, has its full worth.
+        Target for the time to the response, or to its first event.
     attempts : int
-        Most endpoints that one request is sent to.
+        Maximum number of endpoints that one request is sent to.
     priority : int
         0 is the most urgent.
     public : bool
-        Whether requests need no key.
+        Whether requests are accepted without a key.
     pause_target_s : float
-        Longest pause between events that keeps an answer in time.
+        Target for the longest pause between two events of a response.
     """
 
     name: str
@@ -78,16 +79,16 @@
 
     @property
     def streams(self) -> bool:
-        """Whether answers are event streams."""
+        """Whether responses are event streams."""
         return self.repeat == RetryPolicy.STREAM
 
     @property
     def allows_rerun(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may have run already may be sent again."""
         return self.repeat == RetryPolicy.ANY or (self.streams and self.resumable)
 
     def choose_pool(self, draw: random.Random) -> str:
-        """Return a pool, drawn by weight."""
+        """Return a random pool, chosen by weight."""
         if len(self.pools) == 1:
             return self.pools[0].pool
         weights = [pool.weight for pool in self.pools]
@@ -95,7 +96,7 @@
 
 
 class EngineTraits(msgspec.Struct, frozen=True, kw_only=True):
-    """What all engines of a pool have in common."""
+    """Properties shared by all engines of a pool."""
 
     slots: int = 1
     memory_tokens: int = 0
@@ -103,15 +104,15 @@
 
 
 class WarmUpTraits(msgspec.Struct, frozen=True, kw_only=True):
-    """How endpoints of a pool start.
+    """How endpoints of a pool warm up after a start.
 
     Attributes
     ----------
     cold_s : float
         How long an endpoint is cold after a start.
     requests_per_s : float
-        Requests that a cold endpoint bears, from all routers together; well above that it
-        falls over.
+        Rate of requests, from all routers together, that a cold endpoint can sustain; it fails
+        at much higher rates.
     """
 
     cold_s: float = 0.0
@@ -124,9 +125,9 @@
     Attributes
     ----------
     engine : EngineTraits or None
-        None for a plain service.
+        None if the endpoints are not inference engines.
     warm_up : WarmUpTraits or None
-        None where a cold endpoint bears as much as any other.
+        None if cold endpoints sustain as much as warm ones.
     """
 
     name: str
@@ -136,7 +137,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, kw_only=True):
-    """A workspace, its keys, and the tokens it has paid for today."""
+    """A workspace, its keys, and its prepaid tokens of the day."""
 
     name: str
     keys: tuple[str, ...] = ()
@@ -145,7 +146,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """One whole version of what operators configured."""
+    """One complete version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -156,15 +157,16 @@
 
 
 class ConfigurationCopy(msgspec.Struct, frozen=True):
-    """A configuration as routers pass it on.
+    """A configuration as one router sends it to another.
 
     Attributes
     ----------
     row_version, row_era : int
-        Number and era of the store's version of the row that it came in: a feed can go on from
-        there.
+        Number and era of the version of the store's row that held the configuration; a feed can
+        continue from there.
     zone_orders : tuple of ZoneOrder
-        All orders up to that version: a feed that goes on from there brings no older ones.
+        All orders up to that version, since a feed that continues from there delivers only
+        later ones.
     """
 
     configuration: Configuration
@@ -174,20 +176,22 @@
 
     @property
     def row_as_of(self) -> RowVersion:
-        """The store's version of the row that it came in."""
+        """Version of the store's row that held the configuration."""
         return RowVersion.of(self.row_era, self.row_version)
 
 
 class EndpointEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """An endpoint as it announced itself.
+    """An endpoint's entry, as the endpoint registered it.
 
     Attributes
     ----------
-    born_ms : int or None
-        When its process started, in milliseconds since 1970 by its own clock; a new start under
-        the same ``endpoint_id`` has another. None where it does not tell.
+    leaving : bool
+        Whether the endpoint is draining.
     cold_left_s : float
-        How long it stays cold from when it said so.
+        How long the endpoint stays cold, counted from when the entry was written.
+    born_ms : int or None
+        When the endpoint's process started, in milliseconds since 1970 by its own clock; it
+        differs after a restart under the same ``endpoint_id``. None if not specified.
     """
 
     endpoint_id: str
@@ -201,22 +205,22 @@
 
     @property
     def incarnation(self) -> str:
-        """Names one start of the endpoint."""
+        """Identifier of the endpoint's process; it changes with each restart."""
         return self.endpoint_id if self.born_ms is None else f"{self.endpoint_id}@{self.born_ms}"
 
 
 def _pause_targets_s(routes: tuple[Route, ...]) -> dict[str, float]:
-    """Return by pool the shortest pause target of the streams that it serves."""
+    """Return the shortest pause target of the streaming routes of each pool."""
     targets_s: dict[str, float] = {}
     for route in routes:
         for weighted in route.pools if route.streams else ():
-            before_s = targets_s.get(weighted.pool, route.pause_target_s)
-            targets_s[weighted.pool] = min(before_s, route.pause_target_s)
+            previous_s = targets_s.get(weighted.pool, route.pause_target_s)
+            targets_s[weighted.pool] = min(previous_s, route.pause_target_s)
     return targets_s
 
 
 def _shortest_targets_s(routes: tuple[Route, ...]) -> dict[str, float]:
-    """Return by pool the shortest target of its routes."""
+    """Return the shortest response time target of the routes of each pool."""
     targets_s: dict[str, float] = {}
     for route in routes:
         for weighted in route.pools:
@@ -226,13 +230,13 @@
     return targets_s
 
 
-def _most_urgent(routes: tuple[Route, ...]) -> dict[str, int]:
-    """Return by pool the most urgent priority of its routes."""
+def _most_urgent_priorities(routes: tuple[Route, ...]) -> dict[str, int]:
+    """Return the most urgent priority of the routes of each pool."""
     priorities: dict[str, int] = {}
     for route in routes:
         for weighted in route.pools:
-            known = priorities.get(weighted.pool, route.priority)
-            priorities[weighted.pool] = min(known, route.priority)
+            previous = priorities.get(weighted.pool, route.priority)
+            priorities[weighted.pool] = min(previous, route.priority)
     return priorities
 
 
@@ -242,7 +246,7 @@
     Parameters
     ----------
     configuration : Configuration
-        The version in force.
+        The configuration in use.
 
     Examples
     --------
@@ -270,10 +274,10 @@
         self.workspaces = {workspace.name: workspace for workspace in configuration.workspaces}
         self.pause_targets_s = _pause_targets_s(configuration.routes)
         self.targets_s = _shortest_targets_s(configuration.routes)
-        self.most_urgent_priorities = _most_urgent(configuration.routes)
+        self.most_urgent_priorities = _most_urgent_priorities(configuration.routes)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, or None."""
+        """Return the route with the longest prefix that matches a path, or None."""
         routes = self._by_host.get(host.lower())
         if routes is None:
             return None
