--- a/turnward/gateway/logs.py
+++ b/turnward/gateway/logs.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Structured lines on standard output that never hold the process up.
+"""Structured logging to standard output that never blocks the process.
 
-A line that can't be written at once waits in a bounded buffer. What does not
-fit there, or is over the budget of lines a second, is counted and left out;
-lines on failures have a budget of their own, so that they go first.
+Lines that cannot be written immediately wait in a bounded buffer. Lines that do not fit into the
+buffer, or exceed the rate limit, are dropped and counted. Normal lines, failures and state changes
+have separate rate limits, so that none of them exhausts the limit of another.
 """
 
 import os
@@ -16,21 +16,20 @@
 
 __all__ = ["BoundedLineWriter", "GatewayLog", "LineBudget"]
 
-#: Bytes of lines that wait for a reader of standard output.
 _BUFFER_BYTES = 262_144
-#: Seconds between two lines that tell what was left out.
-_REPORT_PERIOD_S = 5.0
+#: Shortest time between two lines on dropped lines.
+_DROP_REPORT_INTERVAL_S = 5.0
 
 
 class BoundedLineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without ever blocking.
 
     Parameters
     ----------
     descriptor : int
-        Set to non-blocking.
+        The file descriptor; it is set to non-blocking mode.
     limit_bytes : int
-        Most bytes that wait.
+        Size of the buffer for lines that could not be written yet.
     """
 
     def __init__(self, descriptor: int, limit_bytes: int = _BUFFER_BYTES):
@@ -42,11 +41,11 @@
 
     @property
     def waiting_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """Bytes that are buffered and not written yet."""
         return len(self._waiting)
 
     def write_line(self, line: bytes) -> bool:
-        """Write a line or let it wait; False when it is left out."""
+        """Write or buffer a line; return False if it was dropped."""
         if self._broken or len(self._waiting) + len(line) + 1 > self._limit_bytes:
             self.flush()
             if self._broken or len(self._waiting) + len(line) + 1 > self._limit_bytes:
@@ -57,7 +56,7 @@
         return True
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the buffer as possible without blocking."""
         while self._waiting and not self._broken:
             try:
                 written = os.write(self._descriptor, self._waiting)
@@ -71,20 +70,20 @@
 
 
 class LineBudget:
-    """A budget of lines a second that may be saved up for a while."""
+    """A token bucket that limits the rate of lines."""
 
-    __slots__ = ("_burst", "_level", "_per_s", "_seen_s")
+    __slots__ = ("_burst", "_level", "_per_s", "_updated_s")
 
     def __init__(self, per_s: float, burst: float):
         self._per_s = per_s
         self._burst = burst
         self._level = burst
-        self._seen_s = 0.0
+        self._updated_s = 0.0
 
     def take(self, now_s: float) -> bool:
-        """Use one line; False when none is left."""
-        self._level = min(self._burst, self._level + (now_s - self._seen_s) * self._per_s)
-        self._seen_s = now_s
+        """Use one line of the budget; return False if it is exhausted."""
+        self._level = min(self._burst, self._level + (now_s - self._updated_s) * self._per_s)
+        self._updated_s = now_s
         if self._level < 1.0:
             return False
         self._level -= 1.0
@@ -92,18 +91,18 @@
 
 
 class GatewayLog:
-    """The lines of one process.
+    """The structured log of one process.
 
     Parameters
     ----------
     writer : BoundedLineWriter
-        Where they go.
+        Destination of the lines.
     clock : callable
         Steady clock in seconds.
     incarnation : str
-        Written on every line.
-    lines_per_s, failures_per_s, beliefs_per_s : float
-        Budgets of lines on what went well, on what failed, and on what the process takes for true.
+        Identifier of the process, written on every line.
+    lines_per_s, failures_per_s, state_changes_per_s : float
+        Rate limits of normal lines, failures and state changes.
     """
 
     def __init__(
@@ -113,16 +112,16 @@
         incarnation: str,
         lines_per_s: float = 100.0,
         failures_per_s: float = 100.0,
-        beliefs_per_s: float = 50.0,
+        state_changes_per_s: float = 50.0,
     ):
         self._writer = writer
         self._clock = clock
         self._normal = LineBudget(lines_per_s, 2 * lines_per_s)
         self._failures = LineBudget(failures_per_s, 2 * failures_per_s)
-        self._beliefs = LineBudget(beliefs_per_s, 4 * beliefs_per_s)
-        self._left_out: Counter[str] = Counter()
-        self._left_out_total = 0
-        self._reported_s = clock()
+        self._state_changes = LineBudget(state_changes_per_s, 4 * state_changes_per_s)
+        self._dropped: Counter[str] = Counter()
+        self._dropped_total = 0
+        self._drops_reported_s = clock()
         logger = structlog.wrap_logger(
             _LineLogger(self._write),
             processors=[self._stamp, structlog.processors.JSONRenderer(serializer=_encode)],
@@ -132,32 +131,33 @@
         self._logger = logger.bind(incarnation=incarnation)
 
     def event(self, event: str, **fields) -> None:
-        """Write a line on a decision."""
+        """Log an event."""
         self._log(self._normal, event, fields)
 
     def failure(self, event: str, **fields) -> None:
-        """Write a line on a decision that ends in a failure."""
+        """Log a failure."""
         self._log(self._failures, event, fields)
 
     def belief(self, event: str, **fields) -> None:
-        """Write a line on a change of what the process takes for true.
+        """Log a change in the known state of the store, a peer, an endpoint or a content.
 
-        In a wave of failures, whose lines use up their budget, it tells why they are decided so.
+        These lines explain the failures that follow, so they are logged even when the limit for
+        failures is exhausted.
         """
-        self._log(self._beliefs, event, fields)
+        self._log(self._state_changes, event, fields)
 
     def flush(self) -> None:
-        """Write what waits, and now and then what was left out."""
+        """Write buffered lines and, from time to time, a line on dropped ones."""
         now_s = self._clock()
-        if self._left_out and now_s - self._reported_s >= _REPORT_PERIOD_S:
-            self._reported_s = now_s
-            left_out, self._left_out = dict(self._left_out), Counter()
-            self._logger.msg("log.left_out", lines=left_out)
+        if self._dropped and now_s - self._drops_reported_s >= _DROP_REPORT_INTERVAL_S:
+            self._drops_reported_s = now_s
+            dropped, self._dropped = dict(self._dropped), Counter()
+            self._logger.msg("log.left_out", lines=dropped)
         self._writer.flush()
 
     def _log(self, budget: LineBudget, event: str, fields) -> None:
         if not budget.take(self._clock()):
-            self._leave_out(event)
+            self._drop(event)
             return
         self._logger.msg(event, **fields)
 
@@ -168,20 +168,20 @@
 
     def _write(self, line: bytes) -> None:
         if not self._writer.write_line(line):
-            self._leave_out("not_written")
+            self._drop("not_written")
 
-    def _leave_out(self, what: str) -> None:
-        self._left_out[what] += 1
-        self._left_out_total += 1
+    def _drop(self, cause: str) -> None:
+        self._dropped[cause] += 1
+        self._dropped_total += 1
 
     def take_dropped_count(self) -> int:
-        """Return how many lines were left out since the last call."""
-        taken, self._left_out_total = self._left_out_total, 0
-        return taken
+        """Return the number of lines dropped since the last call."""
+        count, self._dropped_total = self._dropped_total, 0
+        return count
 
 
 class _LineLogger:
-    """What structlog hands finished lines to."""
+    """The logger that structlog passes rendered lines to."""
 
     def __init__(self, write):
         self.msg = write
--- a/turnward/gateway/mechanisms.py
+++ b/turnward/gateway/mechanisms.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Switches for experiments: each mechanism of a gateway can be set to its naive version.
+"""Switches that replace single mechanisms of a gateway by simple ones, for experiments.
 
-What a mechanism is worth is measured by days played with and without it; operators leave
-all of them as they are. In a settings file they stand as ``mechanisms.loans = false``.
+Simulations with and without a mechanism show its benefit; production deployments keep the
+defaults. A settings file sets them like ``mechanisms.loans = false``.
 """
 
 import math
@@ -13,36 +13,41 @@
 
 
 class Mechanisms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Which mechanisms are on, and how strong those are that have a weight.
+    """Which mechanisms are enabled, and their weights.
 
     Attributes
     ----------
     loans : bool
-        Routers that get no tokens from the store borrow from peers. Naive: they refuse.
+        Routers that get no tokens from the store borrow from peers. If disabled, they reject
+        requests.
     spend_reports : bool
-        Routers report what they spend. Naive: what a dead one held counts as spent.
+        Routers report the tokens that they spend. If disabled, all tokens of a crashed router
+        count as spent.
     urgency_in_cut : bool
-        Part of the tokens is kept for more urgent requests while the store is away. Naive:
-        who comes first gets them.
+        Some tokens are withheld for more urgent requests while the store is unreachable. If
+        disabled, tokens are given out in order of arrival.
     agreed_homes : bool
-        Routers agree on the engine that keeps a prompt part. Naive: each knows only
-        its own requests.
+        All routers choose the same preferred endpoints for a prompt part. If disabled, each
+        router considers only its own requests.
     reread_weight : float
-        How much more it costs to read a shared part again than to read anything else.
-        Naive: 1.
+        Cost of processing a shared prompt part again, relative to other prompt tokens; 1 for no
+        difference.
     zone_cost : bool
-        Endpoints of other zones cost a little more. Naive: they cost the same.
+        Endpoints of other zones have a slightly higher cost. If disabled, all zones cost the same.
     rests : bool
-        Endpoints that fail get no new work for a while. Naive: they are chosen as before.
+        Endpoints that fail get no new requests for a backoff period. If disabled, they are chosen
+        as before.
     repeats : bool
-        A failed request may be sent to a second endpoint. Naive: its failure is passed on.
+        A failed request may be retried at a second endpoint. If disabled, its failure is returned
+        to the caller.
     weighs_pace : bool
-        Long prompts keep away from engines whose streams go on more slowly than most. Naive:
-        all engines of a pool are taken for equally fast.
+        Long prompts avoid engines that are slower than most. If disabled, all engines of a pool
+        are treated as equally fast.
     looks_for_others : bool
-        No repeat is used up where no other endpoint takes work. Naive: it is.
+        The retry budget is charged only if another endpoint is available. If disabled, it is
+        always charged.
     admission : bool
-        A request is refused at once where engines have too long a queue for it. Naive: it queues.
+        A request is rejected at once if the queues are too long for it. If disabled, it is queued.
     """
 
     loans: bool = True
@@ -58,7 +63,7 @@
     admission: bool = True
 
     def faults(self) -> list[str]:
-        """Return what is wrong beyond types."""
+        """Return errors that type conversion does not detect."""
         if 1 <= self.reread_weight < math.inf:
             return []
         return [f"mechanisms.reread_weight: expected 1 or more, found {self.reread_weight}"]
--- a/turnward/gateway/metrics.py
+++ b/turnward/gateway/metrics.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Counters and histograms of one process, in Prometheus' text form.
+"""Metrics of one process in the Prometheus text format.
 
-No label names a request; pools and outcomes bound the number of series.
+No label identifies a single request, so that the number of time series stays bounded.
 """
 
 from prometheus_client import (
@@ -15,29 +15,29 @@
 
 __all__ = ["GatewayMetrics"]
 
-# When each series began is of no use here, and a third of the text: of a gateway with two pools
-# 7,961 bytes before, 5,469 without.
+# The "_created" series are not used, and make up a third of the text.
 disable_created_metrics()
 
-#: Upper bounds of the latency histograms, in seconds.
+#: Upper bounds of the buckets of latency histograms.
 _BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
 
 
 class GatewayMetrics:
-    """The figures of one process."""
+    """The metrics of one process."""
 
     content_type = CONTENT_TYPE_LATEST.encode()
 
     def __init__(self):
         self._registry = CollectorRegistry()
-        # What a process believes comes first: collectors that cut a long text keep its beginning.
+        # Gauges of the process's state come first, since some collectors truncate long texts.
         self.open_requests = self._gauge("open_requests", "Requests under way.")
         self.peers_live = self._gauge("peers_live", "Peers heard lately.")
         self.configuration_version = self._gauge(
             "configuration_version", "Version of the configuration in force."
         )
         self.unconfirmed_seconds = self._gauge(
-            "configuration_unconfirmed_seconds", "Since the configuration was known newest."
+            "configuration_unconfirmed_seconds",
+            "Since the configuration was known newest.",
         )
         self.zones_drained = self._gauge(
             "zones_drained", "Availability zones that get no new work by order."
@@ -70,7 +70,9 @@
             "requests_overloaded", "Requests refused, since all queues are too long.", ["pool"]
         )
         self.feedback_reports = self._counter(
-            "endpoint_words", "Times endpoints newly asked to be sent nothing.", ["pool", "hold"]
+            "endpoint_words",
+            "Times endpoints newly asked to be sent nothing.",
+            ["pool", "hold"],
         )
         self.request_seconds = self._histogram("request_seconds", "From head to end.", ["pool"])
         self.first_event_seconds = self._histogram(
@@ -83,7 +85,7 @@
         self.lines_dropped = self._counter("log_lines_left_out", "Log lines left out.", [])
 
     def store_call_counts(self) -> dict[str, int]:
-        """Return the calls to the store so far, by ``call/result``."""
+        """Return the number of calls to the store by ``call/result``."""
         return {
             "/".join(sample.labels.values()): int(sample.value)
             for family in self.store_calls.collect()
@@ -92,22 +94,22 @@
         }
 
     def set_refused_rows(self, counts: dict[tuple[str, str], int]) -> None:
-        """Set how many rows stand refused, by table and reason."""
+        """Set the number of rows that cannot be decoded, by table and reason."""
         self.rows_refused.clear()
         for (table, reason), count in counts.items():
             self.rows_refused.labels(table, reason).set(count)
 
     def text(self) -> bytes:
-        """Return all figures in the text form."""
+        """Return all metrics in the text format."""
         return generate_latest(self._registry)
 
-    def _counter(self, name, text, labels) -> Counter:
-        return Counter(f"turnward_{name}", text, labels, registry=self._registry)
+    def _counter(self, name, description, labels) -> Counter:
+        return Counter(f"turnward_{name}", description, labels, registry=self._registry)
 
-    def _gauge(self, name, text) -> Gauge:
-        return Gauge(f"turnward_{name}", text, registry=self._registry)
+    def _gauge(self, name, description) -> Gauge:
+        return Gauge(f"turnward_{name}", description, registry=self._registry)
 
-    def _histogram(self, name, text, labels) -> Histogram:
+    def _histogram(self, name, description, labels) -> Histogram:
         return Histogram(
-            f"turnward_{name}", text, labels, registry=self._registry, buckets=_BUCKETS_S
+            f"turnward_{name}", description, labels, registry=self._registry, buckets=_BUCKETS_S
         )
