--- a/turnward/gateway/metrics.py
+++ b/turnward/gateway/metrics.py
@@ -36,8 +36,7 @@
             "configuration_version", "Version of the configuration in force."
         )
         self.unconfirmed_seconds = self._gauge(
-            "configuration_unconfirmed_seconds",
-            "Since the configuration was known newest.",
+            "configuration_unconfirmed_seconds", "Since the configuration was known newest."
         )
         self.zones_drained = self._gauge(
             "zones_drained", "Availability zones that get no new work by order."
@@ -70,9 +69,7 @@
             "requests_overloaded", "Requests refused, since all queues are too long.", ["pool"]
         )
         self.feedback_reports = self._counter(
-            "endpoint_words",
-            "Times endpoints newly asked to be sent nothing.",
-            ["pool", "hold"],
+            "endpoint_words", "Times endpoints newly asked to be sent nothing.", ["pool", "hold"]
         )
         self.request_seconds = self._histogram("request_seconds", "From head to end.", ["pool"])
         self.first_event_seconds = self._histogram(
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A gateway process: its parts, put together, started and stopped."""
+"""A gateway process: creates its components, starts and stops them."""
 
 import random
 import traceback
@@ -62,34 +62,31 @@
 
 __all__ = ["GatewayProcess", "SourcesBase", "new_incarnation"]
 
-#: Longest that the store holds a question for changes, in seconds, by table.
+#: Timeouts of long polls for changes of a table.
 _CONFIGURATION_WAIT_S = 2.0
 _ENDPOINTS_WAIT_S = 4.0
 _MEMBERS_WAIT_S = 20.0
-#: Seconds for which changes of a table gather at a router that learns them from others too:
-#: a part of the few seconds in which a leaving endpoint must get no new work.
-_ROWS_REST_S = 1.0
-_MEMBERS_REST_S = 2.0
-#: Seconds between two lines with the process's figures.
-_FIGURES_PERIOD_S = 10.0
-#: Seconds between two looks at idle connections and the log's buffer.
-_HOUSEKEEPING_S = 0.5
-#: Seconds that a stopping process goes on taking requests on open connections.
+#: Delays between two polls after a change, for routers that also receive changes from peers. They
+#: bound how long a draining endpoint still gets new requests.
+_ROWS_POLL_DELAY_S = 1.0
+_MEMBERS_POLL_DELAY_S = 2.0
+_STATISTICS_INTERVAL_S = 10.0
+_HOUSEKEEPING_INTERVAL_S = 0.5
+#: Time for which a stopping process still accepts requests on open connections.
 _LINGER_S = 2.6
-#: Seconds before the stop's limit at which what still runs is ended.
+#: Time before the stop limit at which the remaining requests are aborted.
 _STOP_MARGIN_S = 0.8
-#: Seconds between two looks whether a stopping process may end.
-_LOOK_FOR_END_S = 0.1
-#: Seconds in which the last answers leave.
-_LAST_WORDS_S = 0.1
-#: Seconds after a call to the store that failed in which entries that go are taken to have lapsed.
-_LAPSES_KNOWN_S = 2.5
-#: Age of the last confirmation of the configuration above which contact with the store was lost.
-_CONTACT_LOST_S = 3.0
-#: Connect timeout towards endpoints, in seconds.
+_STOP_CHECK_INTERVAL_S = 0.1
+#: Time for writing the last responses before the process ends.
+_FINAL_WRITE_S = 0.1
+#: Time after a failed call to the store in which removed entries are assumed to have expired.
+_OUTAGE_EXPIRY_S = 2.5
+#: Age of the last confirmation of the configuration above which the store counts as unreachable.
+_STORE_UNREACHABLE_AFTER_S = 3.0
+#: Timeout of connections to endpoints.
 _CONNECT_TIMEOUT_S = 0.5
-#: How far ahead prepaid tokens are taken; see ``docs/decisions``.
-_SIZING = SizingRule(
+#: Sizing of the grants of prepaid tokens; see ``docs/decisions``.
+_GRANT_SIZING = SizingRule(
     horizon_s=60.0,
     minimum_tokens=2_000,
     share=0.5,
@@ -102,7 +99,7 @@
 
 
 def new_incarnation(node: str) -> str:
-    """Return a name for a process on a node, unlike that of any other process."""
+    """Return a unique name for a new process on a node."""
     return f"{node}@{uuid.uuid4().hex[:10]}"
 
 
@@ -120,11 +117,11 @@
 
 
 class SourcesBase(ABC):
-    """Where configuration and endpoints come from; construct with the state to fill."""
+    """Tables of the store that hold the configuration and the endpoints."""
 
     @abstractmethod
     def feeds(self, state: FleetState) -> list[tuple[str, float, FeedListenerBase]]:
-        """Return table, wait in seconds and listener for each table to follow."""
+        """Return the name, long-poll timeout in seconds and listener of each table to follow."""
 
 
 class GatewayProcess:
@@ -135,21 +132,21 @@
     reactor
         Twisted's reactor.
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     incarnation : str
-        Name of this process, unlike that of any other; see ``new_incarnation``.
+        Unique name of this process; see ``new_incarnation``.
     dialect : Dialect
-        Names on the wire.
+        Names of HTTP headers and paths.
     store : VersionedStoreBase
-        The store.
+        Store of versioned rows.
     sources : SourcesBase
-        Where configuration and endpoints come from.
+        Tables that hold the configuration and the endpoints.
     log : GatewayLog
-        Its lines.
+        Structured log of the process.
     metrics : GatewayMetrics
-        Its figures.
+        Metrics of the process.
     draw : random.Random, optional
-        All that is random; seeded by tests.
+        Random number generator; seeded by tests.
     """
 
     def __init__(
@@ -173,16 +170,16 @@
         self._metrics = metrics
         self._ports: list = []
         self._feed_health: dict[str, bool] = {}
-        self._store_away_s = -1e9
-        self._contact_since_s = reactor.seconds()
+        self._store_failed_s = -1e9
+        self._store_reachable_since_s = reactor.seconds()
         self._stopping = False
-        self._stop_began_s = 0.0
-        self._waiting_for_end: task.LoopingCall | None = None
+        self._stop_started_s = 0.0
+        self._stop_check: task.LoopingCall | None = None
         self.stopped: defer.Deferred = defer.Deferred()
         self.incarnation = incarnation
         self.state = FleetState(reactor.seconds)
         self.state.listen(self._state_changed)
-        self.state.refused_rows.on_refused = self._note_unreadable
+        self.state.refused_rows.on_refused = self._log_unreadable_row
         self.book = PeerBook(self.peers_address, reactor.seconds)
         self._add_seeds()
         ranks = MemberRanks(self.book)
@@ -194,24 +191,26 @@
             lambda: self.peers.overlay.loads(),
             self._draw,
             _choice_rule(settings.mechanisms),
-            self._warm_up_of,
+            self._warm_up_traits,
             WarmUpShares(ranks),
             dialect,
             self._limits,
         )
-        news = EndpointReporter(reactor.seconds, self.state, self.endpoints, dialect, metrics, log)
-        self._feedback_exchange = news.feedback_exchange
-        self._limits.on_peer_limit = news.report_peer_rate_limit
-        self.endpoints.on_speed_class = news.report_speed_class
-        self.endpoints.on_feedback = news.report_feedback
-        self.endpoints.on_rate_limit = news.report_rate_limit
+        reporter = EndpointReporter(
+            reactor.seconds, self.state, self.endpoints, dialect, metrics, log
+        )
+        self._feedback_exchange = reporter.feedback_exchange
+        self._limits.on_peer_limit = reporter.report_peer_rate_limit
+        self.endpoints.on_speed_class = reporter.report_speed_class
+        self.endpoints.on_feedback = reporter.report_feedback
+        self.endpoints.on_rate_limit = reporter.report_rate_limit
         self.holders = RendezvousHolders(self.book, reactor.seconds, settings.budget_holders)
         self.accounts = PrepaidAccounts(
             reactor,
             store,
             settings.node,
             self.incarnation,
-            _SIZING,
+            _GRANT_SIZING,
             log,
             lambda: self.book.most_live,
             end_reserve_rule=EndReserveRule(share=settings.budget_reserve_share),
@@ -243,12 +242,16 @@
             log,
             self._draw,
         )
-        self._let_borrow()
+        self._connect_lenders()
         self.forwarder = self._make_forwarder()
         self.callers = InboundFactory(
-            reactor, self.forwarder.handle, InboundLimits(), self._note_refused, self._note_fault
+            reactor,
+            self.forwarder.handle,
+            InboundLimits(),
+            self._log_malformed_request,
+            self._log_exception,
         )
-        store.eras.listen(self._store_returned)
+        store.eras.listen(self._handle_store_rollback)
         self._feeds = [
             TableFeed(
                 reactor,
@@ -257,23 +260,23 @@
                 listener,
                 wait_s,
                 self._draw,
-                self._health_of(table),
+                self._make_health_listener(table),
                 on_answer,
                 pace,
-                self._reread_of(table),
+                self._make_reread_listener(table),
             )
-            for table, wait_s, listener, on_answer, pace in self._feed_list(sources)
+            for table, wait_s, listener, on_answer, pace in self._list_feeds(sources)
         ]
 
     @property
     def peers_address(self) -> str:
-        """``IP:port`` at which peers reach this process."""
+        """``IP:port`` at which this process listens for peers."""
         host, _, _ = self._settings.callers_address.rpartition(":")
         return f"{host}:{self._settings.peers_port}"
 
     @property
     def ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether the process is ready to serve new connections."""
         return self.state.complete and not self._stopping
 
     # Construction.
@@ -292,17 +295,17 @@
             link_mbit_per_s=settings.link_mbit_per_s,
         )
 
-    def _let_borrow(self) -> None:
-        """Join the accounts to the peers that lend."""
+    def _connect_lenders(self) -> None:
+        """Let the accounts request tokens from holders and borrow them from peers."""
         call = self.peers.call
-        self.accounts.on_written = self._account_written
+        self.accounts.on_written = self._announce_account
         self.accounts.holder_client = HolderClient(self.holders, self.peers.call_or_fail, self._log)
         if self._settings.mechanisms.loans:
             peers = PeerLenders(self.book, call, self._reactor.seconds)
             self.accounts.lenders = HolderLenders(self.holders, peers, self._reactor.seconds)
 
-    def _account_written(self) -> None:
-        """Let the others know what a store that goes back would lose."""
+    def _announce_account(self) -> None:
+        """Announce a written account row, which a rollback of the store would lose."""
         if self._store.eras.known is not None:
             self.peers.tell_soon()
 
@@ -314,24 +317,24 @@
     def _make_pool(self, address: str, on_head) -> OutboundPool:
         host, _, port = address.rpartition(":")
         return OutboundPool(
-            self._reactor, (host, int(port)), _CONNECT_TIMEOUT_S, self._note_fault, on_head
+            self._reactor, (host, int(port)), _CONNECT_TIMEOUT_S, self._log_exception, on_head
         )
 
-    def _warm_up_of(self, pool: str) -> WarmUpTraits | None:
+    def _warm_up_traits(self, pool: str) -> WarmUpTraits | None:
         routes = self.state.routes
-        known = routes.pools.get(pool) if routes is not None else None
-        return known.warm_up if known is not None else None
+        endpoint_pool = routes.pools.get(pool) if routes is not None else None
+        return endpoint_pool.warm_up if endpoint_pool is not None else None
 
     def _make_forwarder(self) -> Forwarder:
         settings = self._settings
-        repeats = RetryBudgetRule(
+        retry_rule = RetryBudgetRule(
             settings.repeat_ratio, settings.repeat_window_s, settings.repeat_slack
         )
         if not settings.mechanisms.repeats:
-            repeats = RetryBudgetRule(0.0, settings.repeat_window_s, 0.0)
+            retry_rule = RetryBudgetRule(0.0, settings.repeat_window_s, 0.0)
         admission = AdmissionRule() if settings.mechanisms.admission else AdmissionRule(shares=())
         rules = ForwardingRules(
-            repeats=repeats,
+            repeats=retry_rule,
             looks_for_others=settings.mechanisms.looks_for_others,
             admission=admission,
         )
@@ -349,39 +352,39 @@
             self._draw,
         )
 
-    def _feed_list(self, sources: SourcesBase):
+    def _list_feeds(self, sources: SourcesBase):
         for table, wait_s, listener in sources.feeds(self.state):
             confirms = wait_s <= _CONFIGURATION_WAIT_S
             on_answer = self.state.confirm if confirms else None
-            yield table, wait_s, listener, on_answer, self._pace(confirms)
+            yield table, wait_s, listener, on_answer, self._feed_pace(confirms)
         members = MembersListener(self.book, self.state.refused_rows)
-        pace = FleetPace(self.peers.overlay, _MEMBERS_REST_S)
+        pace = FleetPace(self.peers.overlay, _MEMBERS_POLL_DELAY_S)
         yield MEMBERS_TABLE, _MEMBERS_WAIT_S, members, None, pace
 
-    def _pace(self, holds_configuration: bool) -> FeedPaceBase:
-        """Return how often the store is asked for a table of configuration or endpoints."""
+    def _feed_pace(self, holds_configuration: bool) -> FeedPaceBase:
+        """Return the pace of the feed of a table of the configuration or the endpoints."""
         if holds_configuration:
-            return ToldPace(self.peers.overlay, _ROWS_REST_S, self.state)
-        return FleetPace(self.peers.overlay, _ROWS_REST_S)
+            return ToldPace(self.peers.overlay, _ROWS_POLL_DELAY_S, self.state)
+        return FleetPace(self.peers.overlay, _ROWS_POLL_DELAY_S)
 
-    def _health_of(self, table: str):
-        def note(works: bool, cause: str = "") -> None:
-            if works:
+    def _make_health_listener(self, table: str):
+        def on_health(reachable: bool, cause: str = "") -> None:
+            if reachable:
                 self.accounts.note_store_reachable()
             else:
-                self._store_away_s = self._reactor.seconds()
-            if self._feed_health.get(table) == works:
+                self._store_failed_s = self._reactor.seconds()
+            if self._feed_health.get(table) == reachable:
                 return
-            self._feed_health[table] = works
-            if works:
+            self._feed_health[table] = reachable
+            if reachable:
                 self._log.belief("store.regained", table=table)
             else:
                 self._log.belief("store.lost", table=table, cause=cause)
 
-        return note
+        return on_health
 
-    def _reread_of(self, table: str):
-        def note(reread: Reread) -> None:
+    def _make_reread_listener(self, table: str):
+        def on_reread(reread: Reread) -> None:
             self._log.belief(
                 "store.read_again",
                 table=table,
@@ -390,19 +393,19 @@
                 known=reread.known_version,
             )
 
-        return note
+        return on_reread
 
-    def _store_returned(self, era: int) -> None:
-        """Write anew what the store may have lost of this router's rows."""
+    def _handle_store_rollback(self, era: int) -> None:
+        """Rewrite the rows of this router that the store may have lost."""
         self._metrics.store_rollbacks.inc()
         self._log.belief("store.returned", era=era)
         self._quarantine_rows.note_return()
-        defer.ensureDeferred(self._announce())
+        defer.ensureDeferred(self._write_member_row())
 
     # Start.
 
     def start(self) -> None:
-        """Listen and begin to learn."""
+        """Listen on all ports, and start the feeds and periodic tasks."""
         self._listen(self._settings.callers_address, self.callers)
         ready = InboundFactory(self._reactor, self._serve_ready, InboundLimits())
         self._listen(self._settings.ready_address, ready)
@@ -423,15 +426,15 @@
         self.peers.start()
         self.accounts.start()
         self._quarantine_rows.start()
-        defer.ensureDeferred(self._announce())
-        self._repeat(self._keep_house, _HOUSEKEEPING_S)
-        self._repeat(self._log_figures, _FIGURES_PERIOD_S)
+        defer.ensureDeferred(self._write_member_row())
+        self._start_repeating(self._run_housekeeping, _HOUSEKEEPING_INTERVAL_S)
+        self._start_repeating(self._log_statistics, _STATISTICS_INTERVAL_S)
 
-    def _repeat(self, function, period_s: float) -> task.LoopingCall:
-        repeating = task.LoopingCall(function)
-        repeating.clock = self._reactor
-        repeating.start(period_s, now=False)
-        return repeating
+    def _start_repeating(self, function, interval_s: float) -> task.LoopingCall:
+        call = task.LoopingCall(function)
+        call.clock = self._reactor
+        call.start(interval_s, now=False)
+        return call
 
     def _listen(self, address: str, factory) -> None:
         host, _, port = address.rpartition(":")
@@ -439,8 +442,8 @@
             self._reactor.listenTCP(int(port), factory, backlog=1_024, interface=host)
         )
 
-    async def _announce(self) -> None:
-        """Write this process's address where peers look for it."""
+    async def _write_member_row(self) -> None:
+        """Write this process's row in the table of members, in which peers find its address."""
         key = RowKey(MEMBERS_TABLE, "", self._settings.node)
         settings = self._settings
         member = Member(self.peers_address, settings.zone, settings.link_mbit_per_s)
@@ -480,7 +483,7 @@
         metrics.endpoints_limited.set(self._limits.limited_count)
         request.answer(200, [(b"content-type", metrics.content_type)], metrics.text())
 
-    def _note_fault(self, failure: Exception) -> None:
+    def _log_exception(self, failure: Exception) -> None:
         where = traceback.extract_tb(failure.__traceback__)[-1:]
         self._log.failure(
             "process.fault",
@@ -489,7 +492,7 @@
         )
 
     def _quarantine_changed(self, change: QuarantineChange) -> None:
-        """Write a line, and a row, on a content that is held back from now on, or no longer."""
+        """Log and store that a content has been quarantined or released."""
         self._quarantine_rows.note_change(change)
         if change.held:
             self._log.belief(
@@ -503,10 +506,10 @@
         else:
             self._log.belief("content.cleared", content=change.content, own=change.own)
 
-    def _note_refused(self, refusal) -> None:
+    def _log_malformed_request(self, refusal) -> None:
         self._log.failure("request.malformed", status=refusal.status, reason=refusal.reason)
 
-    def _note_unreadable(self, row: RefusedRow) -> None:
+    def _log_unreadable_row(self, row: RefusedRow) -> None:
         self._log.failure(
             "row.unreadable",
             table=row.key.table,
@@ -516,13 +519,13 @@
             cause=row.cause,
         )
 
-    def _state_changed(self, what: str, source: str) -> None:
-        take_in = {
+    def _state_changed(self, kind: str, source: str) -> None:
+        handlers = {
             "configuration": self._configuration_changed,
             "endpoints": self._endpoints_changed,
             "zone_orders": self._zone_orders_changed,
         }
-        take_in[what](source)
+        handlers[kind](source)
 
     def _configuration_changed(self, source: str) -> None:
         configuration = self.state.routes.configuration
@@ -537,8 +540,8 @@
         )
 
     def _endpoints_changed(self, source: str) -> None:
-        away_s = self._reactor.seconds() - self._store_away_s
-        self.endpoints.set_entries(self.state.endpoints, away_s <= _LAPSES_KNOWN_S)
+        since_failure_s = self._reactor.seconds() - self._store_failed_s
+        self.endpoints.set_entries(self.state.endpoints, since_failure_s <= _OUTAGE_EXPIRY_S)
         entries = self.state.endpoints.values()
         self._log.event(
             "endpoints.adopted",
@@ -561,20 +564,20 @@
             orders=[msgspec.to_builtins(order) for order in self.state.zone_orders.all()],
         )
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         now_s = self._reactor.seconds()
-        if self.state.unconfirmed_for_s() > _CONTACT_LOST_S:
-            self._contact_since_s = now_s
+        if self.state.unconfirmed_for_s() > _STORE_UNREACHABLE_AFTER_S:
+            self._store_reachable_since_s = now_s
         self.quarantine.note_standing(
-            self.endpoints.incarnations_with_entry(), self._contact_since_s
+            self.endpoints.incarnations_with_entry(), self._store_reachable_since_s
         )
         self.endpoints.drop_lapsed()
         for record in self.endpoints.all():
             record.pool.trim(now_s)
         self._log.flush()
 
-    def _log_figures(self) -> None:
-        """Write a line with what the store was asked, and how many peers are heard."""
+    def _log_statistics(self) -> None:
+        """Log the calls to the store, open requests and numbers of routers."""
         overlay = self.peers.overlay
         self._log.event(
             "process.figures",
@@ -589,7 +592,7 @@
     # Reload and stop.
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take in changed settings; what needs a new start is passed over."""
+        """Apply changed seeds and stop limit; other changes need a restart and are ignored."""
         changed = [
             key
             for key in settings.__struct_fields__
@@ -602,7 +605,7 @@
         self._log.event("process.reloaded", changed=changed)
 
     def stop(self) -> None:
-        """Begin the planned stop: nothing in flight is cut before the limit."""
+        """Begin a planned shutdown, which aborts no open request before the stop limit."""
         if self._stopping:
             return
         self._stopping = True
@@ -610,11 +613,11 @@
         self.callers.draining = True
         self.accounts.stop()
         self._log.event("process.stopping", open_requests=len(self.forwarder.open_requests))
-        self._stop_began_s = self._reactor.seconds()
-        self._waiting_for_end = self._repeat(self._look_for_end, _LOOK_FOR_END_S)
+        self._stop_started_s = self._reactor.seconds()
+        self._stop_check = self._start_repeating(self._check_stopped, _STOP_CHECK_INTERVAL_S)
 
-    def _look_for_end(self) -> None:
-        elapsed_s = self._reactor.seconds() - self._stop_began_s
+    def _check_stopped(self) -> None:
+        elapsed_s = self._reactor.seconds() - self._stop_started_s
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
         busy = any(not connection.idle for connection in self.callers.connections)
         if elapsed_s >= _LINGER_S:
@@ -623,7 +626,7 @@
         pending = busy or self.forwarder.open_requests or not self.accounts.settled
         if elapsed_s < limit_s and (pending or elapsed_s < _LINGER_S):
             return
-        self._waiting_for_end.stop()
+        self._stop_check.stop()
         for forwarding in list(self.forwarder.open_requests):
             forwarding.end_at_stop()
         for feed in self._feeds:
@@ -632,4 +635,4 @@
             self._log.failure("prepaid.not_returned")
         self._log.event("process.stopped")
         self._log.flush()
-        self._reactor.callLater(_LAST_WORDS_S, self.stopped.callback, None)
+        self._reactor.callLater(_FINAL_WRITE_S, self.stopped.callback, None)
--- a/turnward/gateway/settings.py
+++ b/turnward/gateway/settings.py
@@ -13,7 +13,7 @@
 
 
 class GatewaySettings(msgspec.Struct, kw_only=True):
-    """Settings of one gateway; unknown keys are passed over.
+    """Settings of one gateway; unknown keys are ignored.
 
     Attributes
     ----------
@@ -22,19 +22,19 @@
     callers_address, ready_address, metrics_address : str
         ``IP:port`` to listen on; an empty ``metrics_address`` serves none.
     peers_port : int
-        Port on which all routers listen for each other, on the callers' IP.
+        Port on which all routers listen for peers, on the IP address of ``callers_address``.
     seeds : list of str
-        ``IP:port`` of further instances; only the IP numbers are used.
+        ``IP:port`` of other instances; only the IP addresses are used.
     store_address : str
         ``IP:port`` of the store of versioned rows.
     link_mbit_per_s : float
-        Width of the instance's link; 0 when it is not known. Routers with wide links read
-        the configuration first and pass it on.
+        Bandwidth of the instance's link; 0 if unknown. Routers with a high bandwidth read the
+        configuration first and forward it to others.
     budget_reserve_share : float
-        Part of each workspace's prepaid tokens that is handed out slowly once all else is
+        Share of each workspace's prepaid tokens that is released slowly once the others are
         used up; see ``EndReserveRule``.
     budget_holders : int
-        Routers that hold one workspace's prepaid tokens; all others ask one of them.
+        Number of routers that hold a workspace's prepaid tokens; all others request them there.
     mechanisms : Mechanisms
         Switches for experiments.
     """
@@ -63,7 +63,7 @@
     mechanisms: Mechanisms = Mechanisms()
 
     def faults(self) -> list[str]:
-        """Return what is wrong beyond types."""
+        """Return errors that type conversion does not detect."""
         found = []
         for key in ("callers_address", "ready_address", "store_address"):
             if parse_address(getattr(self, key)) is None:
@@ -107,12 +107,12 @@
 
 
 def load_gateway_settings(path: str) -> GatewaySettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     SettingsError
-        Names the file and every fault.
+        The file is not valid; the message names it and lists all errors.
     """
     raw = read_toml(path)
     known = {field.encode_name for field in msgspec.structs.fields(GatewaySettings)}
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a process believes of configuration and endpoints; neither ever goes back."""
+"""Configuration and endpoints known to a process; older versions never replace newer ones."""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -15,12 +15,12 @@
 
 
 class EndpointsSnapshot(msgspec.Struct, frozen=True):
-    """All endpoints as of one version of the store.
+    """The entries of all endpoints at one version of the store.
 
     Attributes
     ----------
     version, era : int
-        Number and era of that version.
+        Number and era of the version.
     """
 
     version: int
@@ -29,37 +29,37 @@
 
     @classmethod
     def at(cls, version: int, entries: tuple[EndpointEntry, ...]) -> "EndpointsSnapshot":
-        """Return the endpoints as of a version of the store."""
+        """Return a snapshot for a version of the store."""
         version = RowVersion(version)
         return cls(version.number, entries, version.era)
 
     @property
     def as_of(self) -> RowVersion:
-        """The store's version that they are as of."""
+        """Version of the store at which the snapshot was taken."""
         return RowVersion.of(self.era, self.version)
 
 
 class FleetState:
-    """The newest configuration and endpoints this process has learnt.
+    """The newest configuration, endpoints and zone orders known to this process.
 
     Attributes
     ----------
     routes : RouteTable or None
-        The configuration in force; None until one is known.
+        Routes of the configuration in use; None if there is none yet.
     endpoints : dict
         Entries by endpoint id.
     endpoints_version : RowVersion
-        The store's version that ``endpoints`` is as of; 0 until known.
+        Version of the store that ``endpoints`` was read at; 0 if not read yet.
     refused_rows : RefusedRows
-        Rows that could not be read.
+        Rows that could not be decoded.
     row_version : RowVersion
-        The store's version of the row that the configuration came in; 0 until known.
+        Version of the store's row that held the configuration; 0 if there is none yet.
     confirmed_s : float or None
-        When the configuration was last known to be the newest.
+        When the configuration was last confirmed as the newest.
     zone_orders : ZoneOrders
-        Which zones operators want drained.
+        Operators' orders to drain zones.
     zone_orders_known : bool
-        Whether these were read, or told by a router that knows them.
+        Whether the orders were read from the store or received from a router that knows them.
     """
 
     def __init__(self, clock: Callable[[], float]):
@@ -71,31 +71,34 @@
         self.endpoints: dict[str, EndpointEntry] = {}
         self.endpoints_version = RowVersion(0)
         self.confirmed_s: float | None = None
-        self._departures = RemovedEndpoints()
+        self._removed_endpoints = RemovedEndpoints()
         self.zone_orders = ZoneOrders()
         self.zone_orders_known = False
 
     @property
     def configuration_version(self) -> int:
-        """Version of the configuration in force; 0 while none is known."""
+        """Version of the configuration in use; 0 if there is none yet."""
         return self.routes.configuration.version if self.routes is not None else 0
 
     @property
     def complete(self) -> bool:
-        """Whether enough is known to serve."""
+        """Whether everything that is needed to serve requests is known."""
         return self.routes is not None and self.endpoints_version > 0 and self.zone_orders_known
 
     def listen(self, listener: Callable[[str, str], None]) -> None:
-        """Call ``listener(what, source)`` after each change."""
+        """Call ``listener(kind, source)`` after each change.
+
+        ``kind`` is ``configuration``, ``endpoints`` or ``zone_orders``.
+        """
         self._listeners.append(listener)
 
     def confirm(self, at_s: float | None = None) -> None:
-        """Note that the configuration in force was the newest at a moment."""
+        """Record that the configuration in use was the newest at ``at_s``, by default now."""
         at_s = self._clock() if at_s is None else at_s
         self.confirmed_s = max(at_s, self.confirmed_s or at_s)
 
     def unconfirmed_for_s(self) -> float:
-        """Return how long it is since the configuration was known to be the newest."""
+        """Return the time since the configuration was last confirmed as the newest."""
         if self.confirmed_s is None:
             return float("inf")
         return self._clock() - self.confirmed_s
@@ -103,44 +106,45 @@
     def adopt_configuration(
         self, configuration: Configuration, source: str, row_version: int = 0
     ) -> bool:
-        """Put a configuration in force unless it is older than the one in force."""
+        """Use a configuration if it is newer than the one in use."""
         if configuration.version <= self.configuration_version:
             return False
         self.routes = RouteTable(configuration)
         self.row_version = max(self.row_version, RowVersion(row_version))
-        self._tell("configuration", source)
+        self._notify_listeners("configuration", source)
         return True
 
     def adopt_zone_orders(self, orders: Iterable[ZoneOrder], source: str) -> None:
-        """Take in orders that are newer than known ones."""
+        """Merge orders into the known ones."""
         if self.zone_orders.merge(orders):
-            self._tell("zone_orders", source)
+            self._notify_listeners("zone_orders", source)
 
     def adopt_zone_order_table(
         self, orders: Iterable[ZoneOrder], version: int, source: str, provisional: bool = False
     ) -> None:
-        """Take in all orders that stood at a version of the store.
+        """Merge the complete table of orders at a version of the store.
 
-        Those that do not stand had ended, unless the store has just come back from an older copy.
+        Known orders that the table lacks have been withdrawn, unless ``provisional``: after a
+        rollback of the store, some orders may not have been rewritten yet.
         """
         self.zone_orders_known = True
         if provisional:
             self.adopt_zone_orders(orders, source)
             return
         if self.zone_orders.merge_table(orders, version):
-            self._tell("zone_orders", source)
+            self._notify_listeners("zone_orders", source)
 
     def adopt_announced_zone_orders(
         self, orders: tuple[ZoneOrder, ...] | None, source: str
     ) -> None:
-        """Take in all orders that another router knows; None when it knows of none yet."""
+        """Merge the orders announced by another router; None if it has none yet."""
         if orders is None:
             return
         self.zone_orders_known = True
         self.adopt_zone_orders(orders, source)
 
     def announced_zone_orders(self) -> tuple[ZoneOrder, ...] | None:
-        """Return all orders as others are told of them; None while they are not known."""
+        """Return the orders to announce to other routers; None if not known yet."""
         return self.zone_orders.all() if self.zone_orders_known else None
 
     def adopt_endpoints(
@@ -148,40 +152,41 @@
         snapshot: EndpointsSnapshot,
         source: str,
         written: Collection[str] = (),
-        settled: bool = False,
+        recovered: bool = False,
     ) -> bool:
-        """Take in all endpoints unless what is known is as new.
+        """Replace the known endpoints by a snapshot if it is newer.
 
         Parameters
         ----------
         written : collection of str
-            Endpoints whose entries have just been written.
-        settled : bool
-            Whether all that the store lost with its last return has been written anew.
+            Ids of endpoints whose entries have been written since the previous snapshot.
+        recovered : bool
+            Whether the rows that the store lost in its last rollback have been rewritten; then a
+            snapshot of the same version is accepted, too.
         """
         known = self.endpoints_version
-        if snapshot.as_of < known or (snapshot.as_of == known and not settled):
+        if snapshot.as_of < known or (snapshot.as_of == known and not recovered):
             return False
         now_s = self._clock()
         if known and snapshot.era > known.era:
-            self._departures.begin_rollback_recovery(now_s)
-        if settled:
-            self._departures.end_rollback_recovery()
-        entries = {entry.endpoint_id: self._newer(entry) for entry in snapshot.entries}
-        self._departures.mark_rewritten(entries[name] for name in written if name in entries)
-        entries = self._departures.mark_draining(entries, now_s)
-        self._departures.record_view(self.endpoints, entries, now_s)
+            self._removed_endpoints.begin_rollback_recovery(now_s)
+        if recovered:
+            self._removed_endpoints.end_rollback_recovery()
+        entries = {entry.endpoint_id: self._latest_entry(entry) for entry in snapshot.entries}
+        self._removed_endpoints.mark_rewritten(entries[name] for name in written if name in entries)
+        entries = self._removed_endpoints.mark_draining(entries, now_s)
+        self._removed_endpoints.record_view(self.endpoints, entries, now_s)
         changed = entries != self.endpoints
         self.endpoints = entries
         self.endpoints_version = snapshot.as_of
         if changed:
-            self._tell("endpoints", source)
+            self._notify_listeners("endpoints", source)
         return True
 
-    def _newer(self, entry: EndpointEntry) -> EndpointEntry:
-        """Return what is known of an endpoint, where an entry tells of an earlier start.
+    def _latest_entry(self, entry: EndpointEntry) -> EndpointEntry:
+        """Return the known entry instead if the given one belongs to an earlier process.
 
-        A write that the store took late puts an ended process's entry over that of the next.
+        A delayed write of the earlier process can overwrite the entry of its successor.
         """
         known = self.endpoints.get(entry.endpoint_id)
         if known is None or known.born_ms is None or entry.born_ms is None:
@@ -189,9 +194,9 @@
         return known if entry.born_ms < known.born_ms else entry
 
     def snapshot(self) -> EndpointsSnapshot:
-        """Return all endpoints as known."""
+        """Return a snapshot of the known endpoints."""
         return EndpointsSnapshot.at(self.endpoints_version, tuple(self.endpoints.values()))
 
-    def _tell(self, what: str, source: str) -> None:
+    def _notify_listeners(self, kind: str, source: str) -> None:
         for listener in self._listeners:
-            listener(what, source)
+            listener(kind, source)
