--- a/turnward/__main__.py
+++ b/turnward/__main__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Lets ``python -m turnward`` run the command line."""
+"""Entry point of ``python -m turnward``."""
 
 from turnward.cli import main
 
--- a/turnward/coroutines.py
+++ b/turnward/coroutines.py
@@ -8,12 +8,12 @@
 
 
 def run_now(coroutine: Coroutine) -> Any:
-    """Run a coroutine that never waits and return its result.
+    """Run a coroutine that never suspends, and return its result.
 
     Raises
     ------
     RuntimeError
-        The coroutine waits for something.
+        The coroutine suspends.
 
     Examples
     --------
@@ -26,4 +26,4 @@
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise RuntimeError("the coroutine waits")
+    raise RuntimeError("coroutine suspended; it must complete synchronously")
--- a/turnward/errors.py
+++ b/turnward/errors.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Root of the exception tree; each sub-package derives its own errors from it."""
+"""Base class of the exceptions; each subpackage derives its own from it."""
 
 __all__ = ["TurnwardError"]
 
@@ -10,9 +10,9 @@
     Parameters
     ----------
     message : str
-        What went wrong.
+        Description of the error.
     advice : str, optional
-        What the reader can do about it.
+        What the user can do about it.
     """
 
     def __init__(self, message, advice=""):
--- a/turnward/hashing.py
+++ b/turnward/hashing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Rendezvous hashing, and fingerprints of content.
+"""Rendezvous hashing, and fingerprints of requests' content.
 
 References
 ----------
@@ -13,7 +13,7 @@
 
 
 def fingerprint(*parts: bytes) -> str:
-    """Return a digest that tells one request's content from another's."""
+    """Return a digest that identifies the content of a request."""
     digest = hashlib.sha256()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -22,6 +22,6 @@
 
 
 def rendezvous_weight(key: str, node: str) -> int:
-    """Return the weight of ``node`` for ``key``; the highest wins."""
+    """Return the weight of ``node`` for ``key``; the node with the highest weight is chosen."""
     digest = hashlib.blake2b(f"{key}|{node}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
--- a/turnward/ids.py
+++ b/turnward/ids.py
@@ -22,7 +22,7 @@
 
 
 def minted_s(request_id: str) -> float | None:
-    """Return the time in an id, in seconds since 1970, or None if it has none.
+    """Return when an id was created, in seconds since 1970, or None if it is not a UUIDv7.
 
     Examples
     --------
--- a/turnward/settings/__init__.py
+++ b/turnward/settings/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Settings of the processes."""
+"""Settings of router processes, and tools to read settings files."""
 
 from turnward.settings.core import (
     RouterSettings,
--- a/turnward/settings/core.py
+++ b/turnward/settings/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Settings of a process, read from TOML and checked."""
+"""Settings of a router process, read from TOML and validated."""
 
 import ipaddress
 import re
@@ -22,10 +22,10 @@
 
 
 class SettingsError(TurnwardError):
-    """Settings or resources are wrong; ``faults`` names every fault found."""
+    """Settings or resources are invalid; ``faults`` lists all errors."""
 
     def __init__(self, faults: list[str]):
-        super().__init__("; ".join(faults), "mend the file; nothing was applied")
+        super().__init__("; ".join(faults), "correct the file; nothing was applied")
         self.faults = faults
 
 
@@ -37,15 +37,15 @@
     instance : str
         Name of the instance, unique in the fleet.
     zone, region : str
-        Availability zone and region the instance stands in.
+        Availability zone and region of the instance.
     callers_address, operators_address, peers_address : str
         ``IP:port`` to listen on.
     platform_url : str
-        Base URL of the platform's table, objects and instance list.
+        Base URL of the platform's table, object store and instance list.
     operator_key_sha256 : str
-        SHA-256 in hexadecimal of the operators' bearer key.
+        SHA-256 of the operators' bearer key, in hexadecimal.
     statsd_address : str
-        ``IP:port`` of statsd; empty sends no metrics.
+        ``IP:port`` of statsd; if empty, no metrics are sent.
     """
 
     instance: str
@@ -81,7 +81,7 @@
     id_retention_s: float = 86_400.0
 
     def faults(self) -> list[str]:
-        """Return what is wrong beyond types."""
+        """Return errors that type conversion does not detect."""
         found = []
         for key in ("callers_address", "operators_address", "peers_address"):
             if parse_address(getattr(self, key)) is None:
@@ -100,7 +100,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Return the IP and port in ``text``, or None when it is not ``IP:port``.
+    """Return the IP address and port in ``text``, or None if it is not ``IP:port``.
 
     Examples
     --------
@@ -120,12 +120,12 @@
 
 
 def read_toml(path: str) -> dict:
-    """Return the plain data of a TOML file.
+    """Return the content of a TOML file.
 
     Raises
     ------
     SettingsError
-        The file can't be read, or is not TOML.
+        The file cannot be read, or is not valid TOML.
     """
     try:
         return msgspec.toml.decode(Path(path).read_bytes())
@@ -134,12 +134,12 @@
 
 
 def load_settings(path: str, settings_type=RouterSettings):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     SettingsError
-        Names the file and every fault.
+        The file is not valid; the message names it and lists all errors.
     """
     settings, faults = convert_checked(read_toml(path), settings_type)
     if faults:
@@ -148,10 +148,9 @@
 
 
 def convert_checked(raw: dict, struct_type) -> tuple[object | None, list[str]]:
-    """Convert plain data to a typed object and collect every fault.
+    """Convert plain data to a typed object and collect all errors.
 
-    ``msgspec`` stops at the first fault, so each field is converted by itself
-    first.
+    ``msgspec`` stops at the first error, so each field is first converted separately.
     """
     faults = _field_faults(raw, struct_type)
     if faults:
--- a/turnward/settings/tests/test_settings.py
+++ b/turnward/settings/tests/test_settings.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Settings and resources: every fault is named, none raises."""
+"""Invalid settings and resources are reported as errors, without exceptions."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/turnward/steady_reactor.py
+++ b/turnward/steady_reactor.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Twisted's reactor with timers that run by the product's steady clock.
+"""A Twisted reactor whose timers use a steady clock.
 
-Twisted counts by the time of day. With all machines' time of day stepped by 20 s three times in a
-day, worth fell from 0.720 to 0.406: leases lapsed or lived on, peers and the store looked silent,
-and timers came late or all at once.
+Twisted's own timers use wall-clock time, so a step of the wall clock would delay timers or run
+them early, and make leases and peers expire at the wrong time.
 """
 
 from twisted.internet.epollreactor import EPollReactor
@@ -15,10 +14,11 @@
 
 
 class SteadyReactor(EPollReactor):
-    """A reactor whose ``seconds`` are those of a clock.
+    """A reactor that reads the time from a given clock.
 
-    Its waits are the kernel's, which stand still while the machine is suspended: a timer that
-    became due then comes up to one period of the shortest repeating timer late.
+    It waits by the kernel's monotonic clock, which stops while the machine is suspended. A timer
+    that becomes due during a suspension is therefore late by up to the shortest interval of the
+    repeating timers.
 
     Parameters
     ----------
@@ -32,12 +32,12 @@
 
 
 def install_steady_reactor(clock: ClockBase | None = None) -> SteadyReactor:
-    """Make the process's reactor one that runs by the steady clock, and return it.
+    """Install a ``SteadyReactor`` as the reactor of the process, and return it.
 
     Raises
     ------
     twisted.internet.error.ReactorAlreadyInstalledError
-        Something has imported ``twisted.internet.reactor`` before.
+        Another reactor is installed, for example by importing ``twisted.internet.reactor``.
     """
     reactor = SteadyReactor(clock or SystemClock())
     installReactor(reactor)
