--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The page of log events is in step with the code, and its lines explain failed requests."""
+"""The page of log events matches the code, and the logged events explain failed requests."""
 
 import os
 import re
@@ -10,7 +10,7 @@
 from turnward.events.story import BELIEFS, CONTENTS, TOKENS, read_lines, render_line, tell_story
 from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.logs import BoundedLineWriter, GatewayLog
-from turnward.gateway.tests import harness as rigs
+from turnward.gateway.tests import harness as harness_module
 from turnward.gateway.tests.harness import (
     ENGINE_POOL,
     KEY,
@@ -23,28 +23,32 @@
 
 PAGE = Path("docs/log-events.md")
 SOURCES = [*Path("turnward/gateway").glob("*.py"), *Path("platform").glob("*.py")]
-CALL = re.compile(r"""(?:log|write|_log)\.?(?:event|failure|belief)?\(\s*"([a-z]+\.[a-z_]+)\"""")
+LOG_CALL = re.compile(
+    r"""(?:log|write|_log)\.?(?:event|failure|belief)?\(\s*"([a-z]+\.[a-z_]+)\""""
+)
 
 
-def events_of_code():
-    return {name for path in SOURCES for name in CALL.findall(path.read_text())} | {"log.left_out"}
+def events_in_code():
+    return {name for path in SOURCES for name in LOG_CALL.findall(path.read_text())} | {
+        "log.left_out"
+    }
 
 
-def events_of_page():
+def events_on_page():
     rows = [line for line in PAGE.read_text().splitlines() if line.startswith("| `")]
     return {name for row in rows for name in re.findall(r"`([a-z]+\.[a-z_]+)`", row.split("|")[1])}
 
 
 def test_log_event_page_lists_exactly_the_events_in_the_code():
-    assert events_of_page() == events_of_code()
+    assert events_on_page() == events_in_code()
 
 
 def test_story_refers_only_to_documented_events():
-    assert events_of_page() >= BELIEFS | TOKENS | CONTENTS
+    assert events_on_page() >= BELIEFS | TOKENS | CONTENTS
 
 
 class LoggingHarness:
-    """A rig whose first gateway writes real lines to a file."""
+    """A harness whose gateways write structured lines to a file."""
 
     def __init__(self, monkeypatch, tmp_path, **fields):
         self.path = tmp_path / "lines"
@@ -56,7 +60,7 @@
                 BoundedLineWriter(descriptor), self.harness.network.clock.seconds, "node-1@x"
             )
 
-        monkeypatch.setattr(rigs, "ListLog", make_log)
+        monkeypatch.setattr(harness_module, "ListLog", make_log)
 
     def story(self, request_id):
         lines = tell_story(read_lines(self.path), request_id, 1e9)
@@ -64,64 +68,66 @@
         return [render_line(line) for line in lines]
 
 
-def find(story, *words):
-    """Return the one line that has all the words."""
-    found = [line for line in story if all(word in line for word in words)]
+def find_line(story, *expected):
+    """Return the last line that contains all expected texts."""
+    found = [line for line in story if all(text in line for text in expected)]
     assert found, story
     return found[-1]
 
 
 def test_story_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=1_000)
-    told = LoggingHarness(
+    logged = LoggingHarness(
         monkeypatch,
         tmp_path,
         pools=(ENGINE_POOL,),
         workspaces=(workspace,),
         repeat=RetryPolicy.STREAM,
     )
-    harness = told.harness
+    harness = logged.harness
     harness.endpoint(stream_events(4))
     harness.ready()
     harness.network.advance(1.0)
     headers = harness.prompt(5_000, 10)
     caller = harness.ask(method=b"POST", body=b"", request_id=b"lost-1", headers=headers)
     assert caller.status == 402
-    story = told.story("lost-1")
-    assert "reason=budget_exhausted" in find(story, "request.ended")
-    assert "workspace=acme" in find(story, "request.ended")
-    assert "ungranted=" in find(story, "prepaid.taken")
+    story = logged.story("lost-1")
+    assert "reason=budget_exhausted" in find_line(story, "request.ended")
+    assert "workspace=acme" in find_line(story, "request.ended")
+    assert "ungranted=" in find_line(story, "prepaid.taken")
 
 
 @pytest.mark.parametrize(
-    ("behave", "status", "words"),
+    ("behave", "status", "expected"),
     [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
-def test_story_explains_a_request_answered_502_or_504(monkeypatch, tmp_path, behave, status, words):
-    told = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
-    told.harness.endpoint(behave)
-    told.harness.ready()
-    caller = told.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
+def test_story_explains_a_request_answered_502_or_504(
+    monkeypatch, tmp_path, behave, status, expected
+):
+    logged = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
+    logged.harness.endpoint(behave)
+    logged.harness.ready()
+    caller = logged.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
     assert caller.status == status
-    story = told.story("lost-2")
-    assert "endpoint=e-1" in find(story, "attempt.chosen")
-    assert f"status={status}" in find(story, "request.ended")
-    if words:
-        find(story, "attempt.failed", *words)
-        find(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
+    story = logged.story("lost-2")
+    assert "endpoint=e-1" in find_line(story, "attempt.chosen")
+    assert f"status={status}" in find_line(story, "request.ended")
+    if expected:
+        find_line(story, "attempt.failed", *expected)
+        find_line(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
 def test_story_explains_a_request_refused_while_the_store_is_unreachable(monkeypatch, tmp_path):
-    told = LoggingHarness(monkeypatch, tmp_path)
-    told.harness.endpoint(stream_events(1))
-    told.harness.ready()
-    told.harness.clients[0].faults.away = True
-    told.harness.network.advance(8.0)
-    caller = told.harness.ask(key=b"new-key", request_id=b"lost-3")
+    logged = LoggingHarness(monkeypatch, tmp_path)
+    logged.harness.endpoint(stream_events(1))
+    logged.harness.ready()
+    logged.harness.clients[0].faults.away = True
+    logged.harness.network.advance(8.0)
+    caller = logged.harness.ask(key=b"new-key", request_id=b"lost-3")
     assert caller.status == 503
-    story = told.story("lost-3")
-    assert "reason=configuration_not_confirmed" in find(story, "request.ended")
-    find(story, "store.lost", "table=configuration")
+    story = logged.story("lost-3")
+    assert "reason=configuration_not_confirmed" in find_line(story, "request.ended")
+    find_line(story, "store.lost", "table=configuration")
 
 
 def test_lost_and_regained_endpoints_and_peers_are_logged():
--- a/turnward/gateway/tests/test_logs.py
+++ b/turnward/gateway/tests/test_logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Lines are structured, bounded, and never hold the process up."""
+"""Log lines are structured, limited in rate, and never block the process."""
 
 import os
 
@@ -10,7 +10,7 @@
 
 
 class FakeClock:
-    """A clock set by hand."""
+    """A clock that tests set."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -42,33 +42,33 @@
 
 def test_unread_pipe_drops_lines_without_blocking(pipe):
     reader, writer = pipe
-    out = BoundedLineWriter(writer, limit_bytes=50_000)
+    line_writer = BoundedLineWriter(writer, limit_bytes=50_000)
     clock = FakeClock()
-    log = GatewayLog(out, clock, "node@1", lines_per_s=1e9)
+    log = GatewayLog(line_writer, clock, "node@1", lines_per_s=1e9)
     for number in range(5_000):
         log.event("request.ended", request=f"r-{number}")
-    assert out.waiting_bytes <= 50_000
+    assert line_writer.waiting_bytes <= 50_000
     clock.now_s += 10.0
     received = b""
-    while out.waiting_bytes:
+    while line_writer.waiting_bytes:
         received += os.read(reader, 1 << 20)
         log.flush()
     log.flush()
     received += os.read(reader, 1 << 20)
     lines = [msgspec.json.decode(line) for line in received.splitlines()]
-    left_out = [line for line in lines if line["event"] == "log.left_out"]
-    assert left_out
-    assert left_out[0]["lines"]["not_written"] > 0
+    dropped = [line for line in lines if line["event"] == "log.left_out"]
+    assert dropped
+    assert dropped[0]["lines"]["not_written"] > 0
 
 
 def test_closed_reader_raises_no_error(pipe):
     _, writer = pipe
-    reader, other = os.pipe()
+    reader, unread_writer = os.pipe()
     os.close(reader)
-    log = GatewayLog(BoundedLineWriter(other), FakeClock(), "node@1")
+    log = GatewayLog(BoundedLineWriter(unread_writer), FakeClock(), "node@1")
     log.event("process.started")
     log.event("process.stopped")
-    os.close(other)
+    os.close(unread_writer)
 
 
 def test_flood_of_normal_lines_does_not_drop_failures(pipe):
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Each mechanism can be switched off, and its naive version does what it says."""
+"""Each mechanism can be disabled by its switch."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 class MechanismsHarness(Harness):
-    """A deployment whose gateways lack a mechanism."""
+    """A harness whose gateways run with the given mechanisms."""
 
     def __init__(self, mechanisms, **fields):
         self.mechanisms = mechanisms
@@ -96,24 +96,26 @@
     assert ask_model(harness, tokens=int(free * 0.8)) == status
 
 
-def book(rule, seed=0):
-    found = EndpointBook(
+def make_book(rule, seed=0):
+    endpoint_book = EndpointBook(
         "z", lambda: 0.0, lambda address, on_head: None, dict, random.Random(seed), rule
     )
     entries = [
         EndpointEntry(endpoint_id=f"e-{n}", pool="pool", address=f"10.0.0.{n}:80", zone=zone)
         for n, zone in enumerate(("z", "z", "other"))
     ]
-    found.set_entries({entry.endpoint_id: entry for entry in entries})
-    return found
+    endpoint_book.set_entries({entry.endpoint_id: entry for entry in entries})
+    return endpoint_book
 
 
 def test_without_preferred_endpoints_routers_choose_independently():
     prompts = [Prompt(5_000, 9, parse_prompt_parts(f"{n:x}:4000,own:1000")) for n in range(30)]
 
     def choices(rule, seed):
-        routers = book(rule, seed)
-        return [routers.choose("pool", one, ENGINE, set()).record.endpoint_id for one in prompts]
+        endpoints = make_book(rule, seed)
+        return [
+            endpoints.choose("pool", prompt, ENGINE, set()).record.endpoint_id for prompt in prompts
+        ]
 
     assert choices(ChoiceRule(), 1) == choices(ChoiceRule(), 2)
     assert choices(ChoiceRule(preferred_endpoints=0), 1) != choices(
@@ -122,20 +124,22 @@
 
 
 def test_without_a_reread_weight_a_busy_preferred_endpoint_is_left_sooner():
-    wanted = Prompt(5_000, 9, parse_prompt_parts("a1:4000,own:1000"))
-    left = []
+    prompt = Prompt(5_000, 9, parse_prompt_parts("a1:4000,own:1000"))
+    moved = []
     for weight in (6.0, 1.0):
-        endpoints = book(ChoiceRule(reread_weight=weight))
-        home = endpoints.choose("pool", wanted, ENGINE, set()).record
-        home.prefill_tokens = 8_000
-        left.append(endpoints.choose("pool", wanted, ENGINE, set()).record is not home)
-    assert left == [False, True]
+        endpoints = make_book(ChoiceRule(reread_weight=weight))
+        preferred = endpoints.choose("pool", prompt, ENGINE, set()).record
+        preferred.prefill_tokens = 8_000
+        moved.append(endpoints.choose("pool", prompt, ENGINE, set()).record is not preferred)
+    assert moved == [False, True]
 
 
 def test_without_a_zone_cost_all_zones_are_used():
     def zones(rule):
-        routers = book(rule)
-        return {routers.choose("pool", Prompt(), None, set()).record.entry.zone for _ in range(40)}
+        endpoints = make_book(rule)
+        return {
+            endpoints.choose("pool", Prompt(), None, set()).record.entry.zone for _ in range(40)
+        }
 
     assert zones(ChoiceRule()) == {"z"}
     assert zones(ChoiceRule(zone_cost_ms=0.0)) == {"z", "other"}
@@ -143,9 +147,11 @@
 
 def test_without_backoff_a_failed_endpoint_is_still_chosen():
     def chosen(rule):
-        routers = book(rule)
-        routers.get("e-0").availability.failed(0.0, certain=True)
-        return {routers.choose("pool", Prompt(), None, set()).record.endpoint_id for _ in range(40)}
+        endpoints = make_book(rule)
+        endpoints.get("e-0").availability.failed(0.0, certain=True)
+        return {
+            endpoints.choose("pool", Prompt(), None, set()).record.endpoint_id for _ in range(40)
+        }
 
     assert "e-0" not in chosen(ChoiceRule())
     assert "e-0" in chosen(ChoiceRule(rests=False))
@@ -163,16 +169,16 @@
     assert repeats or statuses <= {200, 502}
 
 
-@pytest.mark.parametrize("looks", [True, False])
-def test_without_a_check_for_other_endpoints_the_retry_budget_is_wasted(looks):
-    harness = MechanismsHarness(Mechanisms(looks_for_others=looks))
+@pytest.mark.parametrize("checks", [True, False])
+def test_without_a_check_for_other_endpoints_the_retry_budget_is_wasted(checks):
+    harness = MechanismsHarness(Mechanisms(looks_for_others=checks))
     harness.endpoint(answer_not_run)
     harness.ready()
-    # More than the 0.8 x (0.2 x 70 + 50) repeats that are allowed in the window.
+    # More than the 0.8 x (0.2 x 70 + 50) retries that the budget allows in the window.
     for _ in range(70):
         harness.ask()
-    whys = {line["why"] for line in harness.logs[0].of("attempt.not_repeated")}
-    assert ("repeat_budget_used_up" in whys) is not looks
+    reasons = {line["why"] for line in harness.logs[0].of("attempt.not_repeated")}
+    assert ("repeat_budget_used_up" in reasons) is not checks
 
 
 def test_mechanisms_are_read_from_the_settings_file(tmp_path):
@@ -182,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "expected"),
     [
         (b"mechanisms.lones = false", "lones"),
         (b"mechanisms.loans = 3", "loans"),
@@ -191,8 +197,8 @@
         (b"mechanisms = 4", "mechanisms"),
     ],
 )
-def test_errors_name_invalid_mechanisms(tmp_path, line, named):
+def test_errors_name_invalid_mechanisms(tmp_path, line, expected):
     path = tmp_path / "node.toml"
     path.write_bytes(msgspec.toml.encode(VALID_SETTINGS) + line + b"\n")
-    with pytest.raises(SettingsError, match=named):
+    with pytest.raises(SettingsError, match=expected):
         load_gateway_settings(str(path))
--- a/turnward/gateway/tests/test_settings.py
+++ b/turnward/gateway/tests/test_settings.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Settings files of any content end in settings or in a clear error."""
+"""Any settings file is either loaded or rejected with an error that names the problem."""
 
 import msgspec
 import pytest
@@ -46,11 +46,11 @@
 def test_any_value_is_accepted_or_named_in_the_error(tmp_path_factory, changes):
     path = tmp_path_factory.mktemp("s") / "node.toml"
     try:
-        found = load(path, msgspec.toml.encode({**VALID_SETTINGS, **changes}))
+        loaded = load(path, msgspec.toml.encode({**VALID_SETTINGS, **changes}))
     except SettingsError as failure:
         assert any(key in str(failure) for key in changes)
     else:
-        assert not found.faults()
+        assert not loaded.faults()
 
 
 @pytest.mark.parametrize("missing", sorted(VALID_SETTINGS))
@@ -61,10 +61,10 @@
 
 
 def test_unknown_keys_are_ignored(tmp_path):
-    found = load(
+    loaded = load(
         tmp_path / "node.toml", msgspec.toml.encode({**VALID_SETTINGS, "from_the_future": 1})
     )
-    assert found.node == "entry-1"
+    assert loaded.node == "entry-1"
 
 
 @pytest.mark.parametrize(
