--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What callers and endpoints see of a request that passes through a gateway."""
+"""Requests forwarded by a gateway, as callers and endpoints see them."""
 
 import msgspec
 import pytest
@@ -55,11 +55,11 @@
     harness.ready()
     harness.ask(headers=((b"Deadline-Ms", b"9000"),))
     harness.ask(headers=((b"Deadline-Ms", b"500"),))
-    left = [
+    remaining_ms = [
         int(header_value(request.headers, DIALECT.deadline_ms)) for request in endpoint.requests
     ]
-    assert 1_900 < left[0] <= 2_000
-    assert 400 < left[1] <= 500
+    assert 1_900 < remaining_ms[0] <= 2_000
+    assert 400 < remaining_ms[1] <= 500
 
 
 def test_unknown_route_and_key_are_refused_while_the_configuration_is_confirmed():
@@ -75,7 +75,7 @@
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.clients[0].faults.away = True
+    harness.clients[0].faults.unavailable = True
     harness.network.advance(8.0)
     for fields in ({"path": b"/other/"}, {"key": b"nobody"}):
         caller = harness.ask(**fields)
@@ -148,11 +148,11 @@
 
 
 def test_error_of_only_endpoint_is_forwarded_unchanged():
-    def fail(endpoint, request):
+    def answer_500(endpoint, request):
         request.answer(500, answer_head(request), b"own words")
 
     harness = Harness(repeat=RetryPolicy.ANY, attempts=3)
-    harness.endpoint(fail)
+    harness.endpoint(answer_500)
     harness.ready()
     caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"own words")
@@ -169,21 +169,21 @@
 
 def test_unreachable_endpoints_are_skipped_without_sending():
     harness = Harness(repeat=RetryPolicy.ONCE, attempts=1)
-    dead = [harness.endpoint(answer_ok) for _ in range(2)]
+    killed = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.endpoint(answer_ok)
     harness.ready()
-    for endpoint in dead:
+    for endpoint in killed:
         endpoint.machine.kill()
     assert [harness.ask(method=b"POST", body=b"x").status for _ in range(5)] == [200] * 5
 
 
 def test_endpoint_error_is_retried_then_forwarded():
-    def fails(endpoint, request):
+    def answer_500(endpoint, request):
         request.answer(500, answer_head(request, endpoint.endpoint_id.encode()), b"broken")
 
     harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
-    harness.endpoint(fails)
-    harness.endpoint(fails)
+    harness.endpoint(answer_500)
+    harness.endpoint(answer_500)
     harness.ready()
     caller = harness.ask()
     assert (caller.status, caller.body) == (500, b"broken")
@@ -200,11 +200,11 @@
 
 
 def test_not_run_status_is_not_forwarded_for_request_that_may_have_run():
-    def busy(endpoint, request):
+    def answer_503(endpoint, request):
         request.answer(503, answer_head(request), b"later")
 
     harness = Harness(repeat=RetryPolicy.ONCE)
-    harness.endpoint(busy)
+    harness.endpoint(answer_503)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"")
     assert caller.status == 502
@@ -259,13 +259,13 @@
 
 
 def test_truncated_response_is_never_continued_from_another_endpoint():
-    def cut(endpoint, request):
+    def abort_halfway(endpoint, request):
         request.start(200, answer_head(request, b"first"), None)
         request.write(b"half")
         endpoint.machine.callLater(0.05, request.abort)
 
     harness = Harness(repeat=RetryPolicy.ANY, attempts=2)
-    harness.endpoint(cut)
+    harness.endpoint(abort_halfway)
     harness.endpoint(lambda endpoint, request: answer_ok(endpoint, request, b"whole"))
     harness.ready()
     for _ in range(6):
@@ -305,7 +305,7 @@
     harness.network.advance(0.1)
     caller.transport.loseConnection()
     harness.network.advance(0.05)
-    assert len(endpoint.gone) == 1
+    assert len(endpoint.disconnected) == 1
     assert not harness.gateways[0].forwarder.open_requests
 
 
@@ -332,8 +332,8 @@
     paths = [b"/a/slow", b"/a/quick", b"/a/last"]
     caller.transport.write(b"".join(harness.request_bytes(path=path) for path in paths))
     harness.network.advance(1.0)
-    found = [caller.received.index(path) for path in paths]
-    assert found == sorted(found)
+    positions = [caller.received.index(path) for path in paths]
+    assert positions == sorted(positions)
     assert caller.received.count(b"200 OK") == 3
 
 
@@ -387,11 +387,11 @@
 
 
 def test_large_body_is_streamed_and_slow_endpoint_pauses_caller():
-    def reads_nothing(endpoint, request):
+    def read_nothing(endpoint, request):
         request.pause_body()
 
     harness = Harness(repeat=RetryPolicy.ONCE, time_limit_s=60.0)
-    endpoint = harness.endpoint(reads_nothing)
+    endpoint = harness.endpoint(read_nothing)
     endpoint.answers_early = True
     harness.ready()
     caller = harness.connect()
@@ -402,11 +402,11 @@
         if caller.transport._under_way < 300_000:
             caller.transport.write(b"b" * 10_000)
             harness.network.advance(0.005)
-    held = caller.transport._under_way
-    assert held > 100_000
+    unread = caller.transport._under_way
+    assert unread > 100_000
     endpoint.requests[0].attach(lambda data: None, lambda: None)
     harness.network.advance(0.5)
-    assert caller.transport._under_way < held
+    assert caller.transport._under_way < unread
 
 
 def test_slow_caller_pauses_endpoint():
@@ -434,21 +434,21 @@
 # Event streams.
 
 
-def streaming(resumable, attempts=3):
+def streaming_harness(resumable, attempts=3):
     return Harness(
         pools=(ENGINE_POOL,), repeat=RetryPolicy.STREAM, resumable=resumable, attempts=attempts
     )
 
 
 def test_events_are_forwarded_as_they_arrive():
-    def slowly(endpoint, request):
+    def stream_slowly(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 1))
         endpoint.machine.callLater(1.0, request.write, encode_events(2, 2))
         endpoint.machine.callLater(1.1, request.finish)
 
-    harness = streaming(resumable=True)
-    harness.endpoint(slowly)
+    harness = streaming_harness(resumable=True)
+    harness.endpoint(stream_slowly)
     harness.ready()
     caller = harness.send(method=b"POST", body=b"p")
     harness.network.advance(0.5)
@@ -458,7 +458,7 @@
 
 
 def test_resumable_stream_continues_at_another_endpoint():
-    harness = streaming(resumable=True)
+    harness = streaming_harness(resumable=True)
     broken = harness.endpoint(
         stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
     )
@@ -471,13 +471,13 @@
 
 
 def test_partial_event_is_not_joined_with_another_run():
-    def cut_inside(endpoint, request):
+    def abort_inside_event(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 3)[:-4])
         endpoint.machine.callLater(0.05, request.abort)
 
-    harness = streaming(resumable=True)
-    harness.endpoint(cut_inside)
+    harness = streaming_harness(resumable=True)
+    harness.endpoint(abort_inside_event)
     harness.endpoint(stream_events(5))
     harness.ready()
     for _ in range(4):
@@ -488,7 +488,7 @@
 
 
 def test_non_resumable_stream_is_aborted_and_does_not_look_complete():
-    harness = streaming(resumable=False)
+    harness = streaming_harness(resumable=False)
     for _ in range(2):
         harness.endpoint(
             stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.1, r.abort))
@@ -501,19 +501,19 @@
 
 
 def test_resumed_stream_that_restarts_is_rejected():
-    def restarts(endpoint, request):
+    def restart_stream(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 9))
         request.finish()
 
-    harness = streaming(resumable=True, attempts=2)
+    harness = streaming_harness(resumable=True, attempts=2)
     first = harness.endpoint(
         stream_events(9, up_to=4, then=lambda e, r: e.machine.callLater(0.5, r.abort))
     )
     harness.ready()
     caller = harness.send(method=b"POST", body=b"p")
     harness.network.advance_until(lambda: first.requests)
-    harness.endpoint(restarts)
+    harness.endpoint(restart_stream)
     harness.network.advance_until(lambda: answered(caller))
     body, complete = decode_chunked(caller.body)
     assert body == encode_events(1, 4)
@@ -521,32 +521,32 @@
 
 
 def test_stream_that_ends_inside_an_event_does_not_look_complete():
-    def ends_early(endpoint, request):
+    def end_inside_event(endpoint, request):
         request.start(200, answer_head(request), None)
         request.write(encode_events(1, 3)[:-4])
         request.finish()
 
-    harness = streaming(resumable=False)
-    harness.endpoint(ends_early)
+    harness = streaming_harness(resumable=False)
+    harness.endpoint(end_inside_event)
     harness.ready()
     caller = harness.ask(method=b"POST", body=b"p")
     assert caller.closed is not None
     assert not decode_chunked(caller.body)[1]
 
 
-# Endpoints that leave, and addresses that are used again.
+# Draining endpoints and reassigned addresses.
 
 
 def test_draining_endpoint_gets_no_new_requests():
     harness = Harness()
-    leaving = harness.endpoint(answer_ok)
+    draining = harness.endpoint(answer_ok)
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.announce(leaving, leaving=True)
+    harness.announce(draining, leaving=True)
     harness.network.advance(0.1)
-    before = len(leaving.requests)
+    before = len(draining.requests)
     assert [harness.ask().status for _ in range(6)] == [200] * 6
-    assert len(leaving.requests) == before
+    assert len(draining.requests) == before
 
 
 def test_request_is_not_run_at_reassigned_address():
@@ -579,7 +579,7 @@
     harness.endpoint(answer_ok)
     harness.ready(gateways=2)
     harness.network.advance(1.0)
-    harness.clients[1].faults.away = True
+    harness.clients[1].faults.unavailable = True
     harness.network.advance(1.0)
     workspace = msgspec.structs.replace(harness.configuration.workspaces[0], keys=("other",))
     harness.configure(workspaces=(workspace,))
@@ -592,11 +592,11 @@
     harness = Harness()
     harness.endpoint(answer_ok)
     harness.ready()
-    harness.clients[0].faults.away = True
+    harness.clients[0].faults.unavailable = True
     harness.network.advance(0.5)
     harness.configure(routes=(harness.route(path_prefix="/b/"),))
     harness.rows.forget_history()
-    harness.clients[0].faults.away = False
+    harness.clients[0].faults.unavailable = False
     harness.network.advance(3.0)
     assert harness.ask(path=b"/b/x").status == 200
 
@@ -642,7 +642,7 @@
     harness = Harness(repeat=RetryPolicy.STREAM, time_limit_s=20.0)
     endpoint = harness.endpoint(never_answer)
     harness.ready()
-    # One request holds the process up to its limit, another begins to arrive late.
+    # One request delays the stop to its limit, another arrives in two parts.
     running = harness.send(method=b"POST", body=b"")
     late = harness.connect()
     late.transport.write(harness.request_bytes(method=b"POST", body=b"")[:40])
@@ -687,7 +687,7 @@
     harness.ready()
     caller = harness.connect()
     caller.transport.write(harness.request_bytes(method=b"POST", body=b""))
-    # The request is read and a connection is being opened.
+    # The request has been read and a connection to the endpoint is being opened.
     assert harness.network.advance_until(lambda: harness.gateways[0].forwarder.open_requests)
     harness.machines[0].freeze()
     harness.network.advance(3.0)
@@ -698,7 +698,7 @@
 
 
 def test_replaced_endpoint_is_tried_once():
-    """One of 20 requests is refused; four when each took two to count, for a few seconds."""
+    """One response from a replaced endpoint is enough for it to be avoided."""
     harness = Harness(attempts=1)
     endpoints = [harness.endpoint(answer_ok) for _ in range(2)]
     harness.ready()
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -121,7 +121,7 @@
     logged = LoggingHarness(monkeypatch, tmp_path)
     logged.harness.endpoint(stream_events(1))
     logged.harness.ready()
-    logged.harness.clients[0].faults.away = True
+    logged.harness.clients[0].faults.unavailable = True
     logged.harness.network.advance(8.0)
     caller = logged.harness.ask(key=b"new-key", request_id=b"lost-3")
     assert caller.status == 503
