--- a/turnward/gateway/metrics.py
+++ b/turnward/gateway/metrics.py
@@ -41,7 +41,7 @@
         self.zones_drained = self._gauge(
             "zones_drained", "Availability zones that get no new work by order."
         )
-        self.rows_refused = Gauge(
+        self.rows_unreadable = Gauge(
             "turnward_rows_refused",
             "Rows of the store that can't be read.",
             ["table", "reason"],
@@ -90,11 +90,11 @@
             if sample.name.endswith("_total")
         }
 
-    def set_refused_rows(self, counts: dict[tuple[str, str], int]) -> None:
+    def set_unreadable_rows(self, counts: dict[tuple[str, str], int]) -> None:
         """Set the number of rows that cannot be decoded, by table and reason."""
-        self.rows_refused.clear()
+        self.rows_unreadable.clear()
         for (table, reason), count in counts.items():
-            self.rows_refused.labels(table, reason).set(count)
+            self.rows_unreadable.labels(table, reason).set(count)
 
     def text(self) -> bytes:
         """Return all metrics in the text format."""
