--- a/turnward/gateway/logs.py
+++ b/turnward/gateway/logs.py
@@ -139,10 +139,10 @@
         self._log(self._failures, event, fields)
 
     def belief(self, event: str, **fields) -> None:
-        """Log a change in the known state of the store, a peer, an endpoint or a content.
+        """Log a change in the known state, such as a lost peer or a quarantined content.
 
-        These lines explain the failures that follow, so they are logged even when the limit for
-        failures is exhausted.
+        These lines explain later failures, so they are logged even when the limit for failures is
+        exhausted.
         """
         self._log(self._state_changes, event, fields)
 
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -62,7 +62,7 @@
 
 __all__ = ["GatewayProcess", "SourcesBase", "new_incarnation"]
 
-#: Timeouts of long polls for changes of a table.
+#: Timeouts of long polls to the store, by table.
 _CONFIGURATION_WAIT_S = 2.0
 _ENDPOINTS_WAIT_S = 4.0
 _MEMBERS_WAIT_S = 20.0
@@ -117,7 +117,7 @@
 
 
 class SourcesBase(ABC):
-    """Tables of the store that hold the configuration and the endpoints."""
+    """Defines which tables of the store hold the configuration and the endpoints."""
 
     @abstractmethod
     def feeds(self, state: FleetState) -> list[tuple[str, float, FeedListenerBase]]:
@@ -140,7 +140,7 @@
     store : VersionedStoreBase
         Store of versioned rows.
     sources : SourcesBase
-        Tables that hold the configuration and the endpoints.
+        Defines which tables hold the configuration and the endpoints.
     log : GatewayLog
         Structured log of the process.
     metrics : GatewayMetrics
@@ -356,6 +356,7 @@
 
     def _list_feeds(self, sources: SourcesBase):
         for table, wait_s, listener in sources.feeds(self.state):
+            # The configuration has the shortest timeout; its polls confirm that it is the newest.
             confirms = wait_s <= _CONFIGURATION_WAIT_S
             on_answer = self.state.confirm if confirms else None
             yield table, wait_s, listener, on_answer, self._feed_pace(confirms)
@@ -364,7 +365,7 @@
         yield MEMBERS_TABLE, _MEMBERS_WAIT_S, members, None, pace
 
     def _feed_pace(self, holds_configuration: bool) -> FeedPaceBase:
-        """Return the pace of the feed of a table of the configuration or the endpoints."""
+        """Return the rule for how often a table of configuration or endpoints is polled."""
         if holds_configuration:
             return PeerConfirmedPollSchedule(self.peers.overlay, _ROWS_POLL_DELAY_S, self.state)
         return FleetPollSchedule(self.peers.overlay, _ROWS_POLL_DELAY_S)
--- a/turnward/gateway/settings.py
+++ b/turnward/gateway/settings.py
@@ -34,7 +34,8 @@
         Share of each workspace's prepaid tokens that is released slowly once the others are
         used up; see ``EndReserveRule``.
     budget_holders : int
-        Number of routers that hold a workspace's prepaid tokens; all others request them there.
+        Number of routers that hold a workspace's prepaid tokens; other routers request tokens
+        from them.
     mechanisms : Mechanisms
         Switches for experiments.
     """
--- a/turnward/ids.py
+++ b/turnward/ids.py
@@ -11,7 +11,7 @@
 
 import uuid6
 
-__all__ = ["key_hash", "creation_time_s", "new_id"]
+__all__ = ["creation_time_s", "key_hash", "new_id"]
 
 _UUID7 = 7
 
