--- a/turnward/gateway/configuration.py
+++ b/turnward/gateway/configuration.py
@@ -87,12 +87,12 @@
         """Whether a request that may have run already may be sent again."""
         return self.repeat == RetryPolicy.ANY or (self.streams and self.resumable)
 
-    def choose_pool(self, draw: random.Random) -> str:
+    def choose_pool(self, rng: random.Random) -> str:
         """Return a random pool, chosen by weight."""
         if len(self.pools) == 1:
             return self.pools[0].pool
         weights = [pool.weight for pool in self.pools]
-        return draw.choices(self.pools, weights)[0].pool
+        return rng.choices(self.pools, weights)[0].pool
 
 
 class EngineTraits(msgspec.Struct, frozen=True, kw_only=True):
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -145,7 +145,7 @@
         Structured log of the process.
     metrics : GatewayMetrics
         Metrics of the process.
-    draw : random.Random, optional
+    rng : random.Random, optional
         Random number generator; seeded by tests.
     """
 
@@ -159,9 +159,9 @@
         sources: SourcesBase,
         log: GatewayLog,
         metrics: GatewayMetrics,
-        draw: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
-        self._draw = draw or random.Random()
+        self._rng = rng or random.Random()
         self._reactor = reactor
         self._settings = settings
         self._dialect = dialect
@@ -189,7 +189,7 @@
             reactor.seconds,
             self._make_pool,
             lambda: self.peers.overlay.loads(),
-            self._draw,
+            self._rng,
             _choice_rule(settings.mechanisms),
             self._warm_up_traits,
             WarmUpShares(ranks),
@@ -227,7 +227,7 @@
             ranks.rank_for,
         )
         self._quarantine_rows = QuarantineRows(
-            reactor, store, self.quarantine, self.state.unreadable_rows, self._draw
+            reactor, store, self.quarantine, self.state.unreadable_rows, self._rng
         )
         self.peers = PeerSynchronizer(
             reactor,
@@ -240,7 +240,7 @@
             self._feedback_exchange,
             self._limits,
             log,
-            self._draw,
+            self._rng,
         )
         self._connect_lenders()
         self.forwarder = self._make_forwarder()
@@ -259,7 +259,7 @@
                 table,
                 listener,
                 wait_s,
-                self._draw,
+                self._rng,
                 self._make_health_listener(table),
                 on_answer,
                 pace,
@@ -351,7 +351,7 @@
             lambda: self.book.max_router_count,
             self._log,
             self._metrics,
-            self._draw,
+            self._rng,
         )
 
     def _list_feeds(self, sources: SourcesBase):
@@ -459,7 +459,7 @@
                     await self._store.transact(VersionedTransaction((change,)))
                 return
             except (RowStoreError, VersionConflictError):
-                await task.deferLater(self._reactor, self._draw.uniform(0.3, 0.9))
+                await task.deferLater(self._reactor, self._rng.uniform(0.3, 0.9))
 
     # Serving.
 
