--- a/turnward/ids.py
+++ b/turnward/ids.py
@@ -11,7 +11,7 @@
 
 import uuid6
 
-__all__ = ["key_hash", "creation_time_s", "new_id"]
+__all__ = ["creation_time_s", "key_hash", "new_id"]
 
 _UUID7 = 7
 
@@ -22,7 +22,7 @@
 
 
 def creation_time_s(request_id: str) -> float | None:
-    """Return the time in an id, in seconds since 1970, or None if it has none.
+    """Return when an id was created, in seconds since 1970, or None if it is not a UUIDv7.
 
     Examples
     --------
