--- a/tests/naive.py
+++ b/tests/naive.py
@@ -8,12 +8,12 @@
 from turnward.budgets import BillWriter, GrantLedger, Reservation
 from turnward.callers.desk import FlightDesk
 from turnward.claims import (
-    ClaimAnswer,
     ClaimHolder,
     ClaimOutcome,
     ClaimRegister,
-    HoldAnswer,
+    ClaimResult,
     HoldOutcome,
+    HoldResult,
 )
 from turnward.resources import ConfigState
 from turnward.router.record_task import RecordTask
@@ -57,10 +57,10 @@
 
     async def take_all(self):
         waiting, self._waiting = self._waiting, deque()
-        self._answer(waiting, ClaimAnswer(ClaimOutcome.TAKEN))
+        self._answer(waiting, ClaimResult(ClaimOutcome.TAKEN))
 
     def hold_all(self, shard, epoch, claim):
-        return HoldAnswer(HoldOutcome.HELD)
+        return HoldResult(HoldOutcome.HELD)
 
     monkeypatch.setattr(ClaimRegister, "flush", take_all)
     monkeypatch.setattr(ClaimHolder, "hold", hold_all)
--- a/turnward/budgets/billing.py
+++ b/turnward/budgets/billing.py
@@ -65,7 +65,7 @@
     """
 
     written: list[Bill] = msgspec.field(default_factory=list)
-    doubled: list[tuple[Bill, BillRow]] = msgspec.field(default_factory=list)
+    duplicates: list[tuple[Bill, BillRow]] = msgspec.field(default_factory=list)
     orphaned: list[Bill] = msgspec.field(default_factory=list)
 
 
@@ -147,7 +147,7 @@
         self._finish(ours, done.written)
         for bill in others:
             del self._pending[bill.key]
-            done.doubled.append((bill, msgspec.convert(rows[bill.key].value, BillRow)))
+            done.duplicates.append((bill, msgspec.convert(rows[bill.key].value, BillRow)))
 
     def _is_ours(self, bill: Bill, row: Row | None) -> bool:
         return row is not None and row.value == msgspec.to_builtins(bill.row)
--- a/turnward/budgets/grants.py
+++ b/turnward/budgets/grants.py
@@ -43,14 +43,14 @@
     ----------
     delta_tokens : int
         Above 0 to take, below 0 to return.
-    fold_tokens : int
+    reported_tokens : int
         Billed tokens that move from the grant row to the budget's
         ``spent_tokens``, so that other routers see them.
     """
 
     budget: str
     delta_tokens: int
-    fold_tokens: int
+    reported_tokens: int
     change_id: str
     previous_id: str | None
 
@@ -79,11 +79,11 @@
         self._unresolved: dict[str, GrantChange] = {}
         self._unfolded_tokens: Counter[str] = Counter()
 
-    def note_billed(self, budget: str, tokens: int) -> None:
+    def record_billed_tokens(self, budget: str, tokens: int) -> None:
         """Take in that a bill on this incarnation's grant stands in the table."""
         self._unfolded_tokens[budget] += tokens
 
-    def unfolded_tokens(self, budget: str) -> int:
+    def unreported_tokens(self, budget: str) -> int:
         """Return billed tokens that the budget's row does not show yet."""
         return self._unfolded_tokens[budget]
 
@@ -105,7 +105,7 @@
                 )
         return views
 
-    def plan_take(self, asks: dict[str, GrantRequest], views: dict[str, BudgetView]):
+    def plan_acquire(self, asks: dict[str, GrantRequest], views: dict[str, BudgetView]):
         """Return the changes that the asks and the rows allow."""
         changes = []
         for budget, ask in asks.items():
@@ -180,11 +180,13 @@
 
     def _finish(self, change: GrantChange) -> None:
         self._last_change[change.budget] = change.change_id
-        self._unfolded_tokens[change.budget] -= change.fold_tokens
+        self._unfolded_tokens[change.budget] -= change.reported_tokens
 
     async def _cancel(self, change: GrantChange, cancel_id: str) -> None:
         key = grant_key(self._incarnation, change.budget)
-        cancel = msgspec.structs.replace(change, change_id=cancel_id, delta_tokens=0, fold_tokens=0)
+        cancel = msgspec.structs.replace(
+            change, change_id=cancel_id, delta_tokens=0, reported_tokens=0
+        )
         checks = (live_check(self._incarnation), self._row_check(key, change))
         try:
             result = await self._table.transact(Transaction(checks, (self._row_write(cancel),)))
@@ -194,9 +196,9 @@
             self._require_live(result.keys)
 
     def _change(self, budget: str, delta_tokens: int) -> GrantChange:
-        fold_tokens = self._unfolded_tokens[budget]
+        reported_tokens = self._unfolded_tokens[budget]
         previous_id = self._last_change.get(budget)
-        return GrantChange(budget, delta_tokens, fold_tokens, new_id(), previous_id)
+        return GrantChange(budget, delta_tokens, reported_tokens, new_id(), previous_id)
 
     def _transaction(self, changes: list[GrantChange]) -> Transaction:
         checks: list[Check] = [live_check(self._incarnation)]
@@ -212,9 +214,9 @@
         writes.append(self._row_write(change))
         if change.previous_id is None:
             return
-        writes.append(Add(key, "granted_tokens", change.delta_tokens - change.fold_tokens))
-        if change.fold_tokens:
-            writes.append(Add(key, "settled_tokens", -change.fold_tokens))
+        writes.append(Add(key, "granted_tokens", change.delta_tokens - change.reported_tokens))
+        if change.reported_tokens:
+            writes.append(Add(key, "settled_tokens", -change.reported_tokens))
 
     def _extend_budget(self, change: GrantChange, checks, writes) -> None:
         key = budget_key(change.budget)
@@ -222,8 +224,8 @@
             checks.append(FieldAtLeast(key, "ungranted_tokens", change.delta_tokens))
         if change.delta_tokens:
             writes.append(Add(key, "ungranted_tokens", -change.delta_tokens))
-        if change.fold_tokens:
-            writes.append(Add(key, "spent_tokens", change.fold_tokens))
+        if change.reported_tokens:
+            writes.append(Add(key, "spent_tokens", change.reported_tokens))
 
     def _row_check(self, key: str, change: GrantChange):
         if change.previous_id is None:
--- a/turnward/budgets/tests/test_grants.py
+++ b/turnward/budgets/tests/test_grants.py
@@ -20,7 +20,7 @@
 
 def take(store, tokens):
     views = run(store.read_views(["b"]))
-    return run(store.apply(store.plan_take({"b": GrantRequest(tokens, tokens)}, views)))
+    return run(store.apply(store.plan_acquire({"b": GrantRequest(tokens, tokens)}, views)))
 
 
 def ungranted(table):
@@ -38,7 +38,7 @@
     first, second = GrantStore(table, "r1"), GrantStore(table, "r2")
     stale = run(second.read_views(["b"]))
     assert take(first, 900) == {"b": 900}
-    assert run(second.apply(second.plan_take({"b": GrantRequest(900, 900)}, stale))) == {}
+    assert run(second.apply(second.plan_acquire({"b": GrantRequest(900, 900)}, stale))) == {}
 
 
 @pytest.mark.parametrize("lost", [1, 2])
@@ -53,12 +53,12 @@
     assert ungranted(table) == 700
 
 
-def test_cancelled_take_cannot_arrive_later(table):
+def test_late_write_of_a_cancelled_change_has_no_effect(table):
     faulty = FaultyTable(table)
     store = GrantStore(faulty, "r1")
     take(store, 100)
     views = run(store.read_views(["b"]))
-    changes = store.plan_take({"b": GrantRequest(200, 200)}, views)
+    changes = store.plan_acquire({"b": GrantRequest(200, 200)}, views)
     late_write = store._transaction(changes)
     store._unresolved["b"] = changes[0]
     assert run(store.resolve()) == {"b": 0}
@@ -83,10 +83,10 @@
     assert ungranted(table) == 1_000
 
 
-def test_returned_tokens_are_for_others(table):
+def test_returned_tokens_are_available_to_other_routers(table):
     store = GrantStore(table, "r1")
     take(store, 600)
-    store.note_billed("b", 250)
+    store.record_billed_tokens("b", 250)
     assert run(store.apply([store.plan_return("b", 350)])) == {"b": -350}
     row = run(table.read([budget_key("b"), grant_key("r1", "b")]))
     assert row[budget_key("b")].value["ungranted_tokens"] == 750
--- a/turnward/callers/claim_desk.py
+++ b/turnward/callers/claim_desk.py
@@ -8,13 +8,13 @@
 from turnward.callers.flight import Flight
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError
 from turnward.claims import (
-    ClaimAnswer,
     ClaimOutcome,
+    ClaimResult,
     ClaimRow,
     ClaimState,
     HeldClaim,
-    HoldAnswer,
     HoldOutcome,
+    HoldResult,
     StoredAnswer,
     claim_key,
 )
@@ -88,7 +88,7 @@
             return _Stale()
         return self._judge_table(flight, claim, epoch, result)
 
-    def _judge_table(self, flight: Flight, claim: ClaimRow, epoch: int, result: ClaimAnswer):
+    def _judge_table(self, flight: Flight, claim: ClaimRow, epoch: int, result: ClaimResult):
         if result.outcome is ClaimOutcome.TAKEN:
             return None
         if result.outcome is ClaimOutcome.STANDING:
@@ -101,16 +101,16 @@
         self.release(flight, claim)
         raise RefusedError(_claims_unreachable())
 
-    async def _hold(self, claim: ClaimRow) -> HoldAnswer:
+    async def _hold(self, claim: ClaimRow) -> HoldResult:
         """Have both holders of the claim's shard record it."""
         answer: Deferred = Deferred()
         self._context.pairs.tell(ClaimAtHolders(claim, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
-            return HoldAnswer(HoldOutcome.STALE)
+            return HoldResult(HoldOutcome.STALE)
 
-    async def _standing_at_holders(self, claim: ClaimRow, held: HoldAnswer) -> StoredAnswer:
+    async def _standing_at_holders(self, claim: ClaimRow, held: HoldResult) -> StoredAnswer:
         """Return the stored answer of a claim that another sender took, or refuse."""
         if held.standing.fingerprint != claim.fingerprint:
             raise RefusedError(Refusal(Reason.ID_REUSED, "this id was used for another request"))
@@ -142,13 +142,13 @@
             Refusal(Reason.IN_PROGRESS, "an abandoned claim is being freed", retry_after_s=2)
         )
 
-    async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimAnswer:
+    async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimResult:
         answer: Deferred = Deferred()
         flight.core.claims.tell(TakeClaim(claim, epoch, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
-            return ClaimAnswer(ClaimOutcome.STORE_UNREACHABLE)
+            return ClaimResult(ClaimOutcome.STORE_UNREACHABLE)
 
     def _require_known(self, claim: ClaimRow) -> None:
         """Refuse an id whose claim may have been lost with both holders of its shard."""
--- a/turnward/callers/tests/test_claim_desk.py
+++ b/turnward/callers/tests/test_claim_desk.py
@@ -6,7 +6,7 @@
 
 from turnward.callers.claim_desk import CLAIM_WAIT_S, ClaimDesk
 from turnward.callers.problems import RefusedError
-from turnward.claims import ClaimAnswer, ClaimOutcome, ClaimRow, HoldAnswer, HoldOutcome
+from turnward.claims import ClaimOutcome, ClaimResult, ClaimRow, HoldOutcome, HoldResult
 from turnward.router.claim_task import ReleaseClaim, TakeClaim
 from turnward.router.pair_task import ClaimAtHolders, RefreshShards, ReleaseAtHolders
 
@@ -31,7 +31,7 @@
     def tell(self, message):
         self.messages.append(message)
         if isinstance(message, ClaimAtHolders):
-            message.answer.callback(HoldAnswer(self.answers.pop(0)))
+            message.answer.callback(HoldResult(self.answers.pop(0)))
         elif isinstance(message, RefreshShards):
             self.known = True
 
@@ -46,7 +46,7 @@
     def tell(self, message):
         self.messages.append(message)
         if isinstance(message, TakeClaim):
-            message.answer.callback(ClaimAnswer(self.answers.pop(0)))
+            message.answer.callback(ClaimResult(self.answers.pop(0)))
 
 
 class World:
--- a/turnward/claims/__init__.py
+++ b/turnward/claims/__init__.py
@@ -5,25 +5,25 @@
     CLAIM_SHARDS,
     ClaimHolder,
     HeldClaim,
-    HoldAnswer,
     HoldOutcome,
+    HoldResult,
     ShardRow,
     shard_key,
     shard_of,
 )
-from turnward.claims.register import ClaimAnswer, ClaimOutcome, ClaimRegister
+from turnward.claims.register import ClaimOutcome, ClaimRegister, ClaimResult
 from turnward.claims.rows import ClaimRow, ClaimState, StoredAnswer, claim_key
 
 __all__ = [
     "CLAIM_SHARDS",
-    "ClaimAnswer",
+    "ClaimResult",
     "ClaimHolder",
     "ClaimOutcome",
     "ClaimRegister",
     "ClaimRow",
     "ClaimState",
     "HeldClaim",
-    "HoldAnswer",
+    "HoldResult",
     "HoldOutcome",
     "ShardRow",
     "StoredAnswer",
--- a/turnward/claims/pairs.py
+++ b/turnward/claims/pairs.py
@@ -17,7 +17,7 @@
     "CLAIM_SHARDS",
     "ClaimHolder",
     "HeldClaim",
-    "HoldAnswer",
+    "HoldResult",
     "HoldOutcome",
     "ShardRow",
     "shard_key",
@@ -76,7 +76,7 @@
     STALE = "stale"
 
 
-class HoldAnswer(msgspec.Struct, frozen=True):
+class HoldResult(msgspec.Struct, frozen=True):
     """A holder's answer.
 
     Attributes
@@ -111,19 +111,19 @@
     def __init__(self):
         self._shards: dict[int, _HeldShard] = {}
 
-    def hold(self, shard: int, epoch: int, claim: HeldClaim) -> HoldAnswer:
+    def hold(self, shard: int, epoch: int, claim: HeldClaim) -> HoldResult:
         """Record a claim, or say why not."""
         held = self._shards.get(shard)
         if held is None:
-            return HoldAnswer(HoldOutcome.STALE)
+            return HoldResult(HoldOutcome.STALE)
         if not held.serving or held.epoch != epoch:
-            return HoldAnswer(HoldOutcome.STALE, row=held.row)
+            return HoldResult(HoldOutcome.STALE, row=held.row)
         if claim.token in held.released:
-            return HoldAnswer(HoldOutcome.STALE, row=held.row)
+            return HoldResult(HoldOutcome.STALE, row=held.row)
         standing = held.claims.setdefault(claim.key, claim)
         if standing.token != claim.token:
-            return HoldAnswer(HoldOutcome.STANDING, standing)
-        return HoldAnswer(HoldOutcome.HELD)
+            return HoldResult(HoldOutcome.STANDING, standing)
+        return HoldResult(HoldOutcome.HELD)
 
     def release(self, shard: int, epoch: int, key: str, token: str) -> bool:
         """Forget a claim whose call was proved not to have run; False: ask again later.
--- a/turnward/claims/register.py
+++ b/turnward/claims/register.py
@@ -23,7 +23,7 @@
     Transaction,
 )
 
-__all__ = ["ClaimAnswer", "ClaimOutcome", "ClaimRegister"]
+__all__ = ["ClaimResult", "ClaimOutcome", "ClaimRegister"]
 
 #: Claims in one transaction.
 BATCH_CLAIMS = 40
@@ -39,7 +39,7 @@
     STALE = "stale"
 
 
-class ClaimAnswer(msgspec.Struct, frozen=True):
+class ClaimResult(msgspec.Struct, frozen=True):
     """Outcome of a claim; ``standing`` is the row that was there before."""
 
     outcome: ClaimOutcome
@@ -73,7 +73,7 @@
         return len(self._waiting)
 
     def claim(self, row: ClaimRow, epoch: int = 0) -> Deferred:
-        """Ask for a claim; the deferred gives a ``ClaimAnswer`` after a flush.
+        """Ask for a claim; the deferred gives a ``ClaimResult`` after a flush.
 
         ``epoch`` is that of the holders who recorded the claim, 0 when the
         shard has none; the claim fails when the table has another by then.
@@ -101,10 +101,10 @@
             try:
                 result = await self._table.transact(self._transaction(rows))
                 if isinstance(result, Committed):
-                    self._answer(batch, ClaimAnswer(ClaimOutcome.TAKEN))
+                    self._answer(batch, ClaimResult(ClaimOutcome.TAKEN))
                     return
                 if router_key(self._incarnation) in result.keys:
-                    self._answer(batch, ClaimAnswer(ClaimOutcome.FENCED))
+                    self._answer(batch, ClaimResult(ClaimOutcome.FENCED))
                     raise FencedError(f"incarnation {self._incarnation} is fenced")
                 batch = await self._answer_standing(batch, set(result.keys))
             except OutcomeUnknownError:
@@ -131,7 +131,7 @@
         left = []
         for key, (row, answer) in zip(keys, batch, strict=True):
             if shard_key(shard_of(key)) in failed_keys:
-                answer.callback(ClaimAnswer(ClaimOutcome.STALE))
+                answer.callback(ClaimResult(ClaimOutcome.STALE))
             elif key not in failed_keys:
                 left.append((row, answer))
             elif key in standing:
@@ -155,19 +155,19 @@
                 lost.append((row, answer))
         self._abandon(lost)
 
-    def _judge(self, row: ClaimRow, found: ClaimRow) -> ClaimAnswer:
+    def _judge(self, row: ClaimRow, found: ClaimRow) -> ClaimResult:
         if found.token == row.token:
-            return ClaimAnswer(ClaimOutcome.TAKEN)
-        return ClaimAnswer(ClaimOutcome.STANDING, found)
+            return ClaimResult(ClaimOutcome.TAKEN)
+        return ClaimResult(ClaimOutcome.STANDING, found)
 
     def _abandon(self, batch) -> None:
         """Give claims up; a write of theirs that still arrives is undone later."""
         for row, _ in batch:
             if row.token not in self._kept:
                 self.release(row)
-        self._answer(batch, ClaimAnswer(ClaimOutcome.STORE_UNREACHABLE))
+        self._answer(batch, ClaimResult(ClaimOutcome.STORE_UNREACHABLE))
 
-    def _answer(self, batch, answer: ClaimAnswer) -> None:
+    def _answer(self, batch, answer: ClaimResult) -> None:
         for _, waiter in batch:
             waiter.callback(answer)
 
@@ -189,7 +189,7 @@
         """How many given-up claims are still to be removed."""
         return len(self._abandoned)
 
-    async def release_abandoned(self) -> int:
+    async def remove_abandoned(self) -> int:
         """Remove claims that were given up but stand in the table; return how many."""
         rows = await self._table.read(list(self._abandoned))
         released = 0
--- a/turnward/claims/tests/test_pairs.py
+++ b/turnward/claims/tests/test_pairs.py
@@ -200,7 +200,7 @@
     return ends, stuck
 
 
-def test_claim_released_during_a_change_of_holders_stays_nowhere():
+def test_claim_released_during_a_change_of_holders_is_removed_from_all_holders():
     ends, stuck = stuck_claims()
     assert ends >= 8
     assert stuck == 0
--- a/turnward/operators/face.py
+++ b/turnward/operators/face.py
@@ -9,7 +9,7 @@
 from turnward.events import Event, get_log, matches, merge_events
 from turnward.ids import key_hash
 from turnward.peers.errors import PeerError
-from turnward.peers.messages import StatusAsk, StatusReply
+from turnward.peers.messages import StatusReply, StatusRequest
 from turnward.resources import KINDS, Change, ConfigLog, VersionConflictError
 from turnward.router.event_task import EVENTS_PREFIX
 from turnward.settings import SettingsError
@@ -138,7 +138,7 @@
         for row in self._context.live_rows():
             if row.incarnation == self._context.events.incarnation:
                 continue
-            ask = StatusAsk("events/" + msgspec.json.encode(wanted).decode())
+            ask = StatusRequest("events/" + msgspec.json.encode(wanted).decode())
             try:
                 reply = await self._context.peers.ask(row.peers_address, row.incarnation, ask)
             except PeerError:
--- a/turnward/operators/states.py
+++ b/turnward/operators/states.py
@@ -9,7 +9,7 @@
 from turnward.budgets import BudgetRow, GrantRow, budget_key, grant_key
 from turnward.fleet import RouterRow, RouterState
 from turnward.peers.errors import PeerError
-from turnward.peers.messages import StatusAsk, StatusReply
+from turnward.peers.messages import StatusReply, StatusRequest
 
 __all__ = ["RouterStatus", "StateReader"]
 
@@ -86,7 +86,7 @@
             return msgspec.to_builtins(own)
         try:
             reply = await self._context.peers.ask(
-                row.peers_address, row.incarnation, StatusAsk("status")
+                row.peers_address, row.incarnation, StatusRequest("status")
             )
         except PeerError:
             return None
--- a/turnward/peers/book.py
+++ b/turnward/peers/book.py
@@ -81,7 +81,7 @@
             del self._unsent[buddy]
             del self._first_copy[buddy]
 
-    def has_first_copy(self, buddy: str) -> bool:
+    def has_initial_copy(self, buddy: str) -> bool:
         """Tell whether a buddy holds every record that was open when it was named."""
         return not self._first_copy.get(buddy, {""})
 
@@ -94,7 +94,9 @@
         for queue in self._unsent.values():
             queue[record.run_id] = record
 
-    def take_unsent(self, buddy: str, limit: int, urgent_only: bool) -> tuple[RunRecord, ...]:
+    def next_unsent_records(
+        self, buddy: str, limit: int, urgent_only: bool
+    ) -> tuple[RunRecord, ...]:
         """Return up to ``limit`` records to send to a buddy.
 
         What need not be sent at once may be overtaken: a run that ends and is
@@ -108,7 +110,7 @@
         """Tell whether a record waits that must be sent at once."""
         return any(is_urgent(record) for record in self._unsent.get(buddy, {}).values())
 
-    def mark_held(self, buddy: str, records: tuple[RunRecord, ...]) -> None:
+    def mark_acknowledged(self, buddy: str, records: tuple[RunRecord, ...]) -> None:
         """Take in that a buddy holds these records."""
         queue = self._unsent.get(buddy, {})
         first_copy = self._first_copy.get(buddy, set())
@@ -117,7 +119,7 @@
             if queue.get(record.run_id) == record:
                 del queue[record.run_id]
 
-    def awaits(self, buddy: str, run_id: str) -> bool:
+    def awaits_acknowledgement(self, buddy: str, run_id: str) -> bool:
         """Tell whether a record is still to be acknowledged by a buddy."""
         return run_id in self._unsent.get(buddy, {})
 
--- a/turnward/peers/codec.py
+++ b/turnward/peers/codec.py
@@ -7,13 +7,13 @@
 import capnp
 import msgspec
 
-from turnward.claims.pairs import HeldClaim, HoldAnswer, HoldOutcome, ShardRow
+from turnward.claims.pairs import HeldClaim, HoldOutcome, HoldResult, ShardRow
 from turnward.errors import TurnwardError
 from turnward.events import Stamp
 from turnward.peers.messages import (
-    ConfigAsk,
     ConfigDelta,
     ConfigEntry,
+    ConfigRequest,
     HandOver,
     HandOverAck,
     Heartbeat,
@@ -27,8 +27,8 @@
     RecordState,
     ReleaseHeldClaim,
     RunRecord,
-    StatusAsk,
     StatusReply,
+    StatusRequest,
 )
 
 __all__ = ["Envelope", "WireError", "decode", "encode", "pack_id", "unpack_id"]
@@ -41,8 +41,8 @@
     "heartbeatAck": HeartbeatAck,
     "recordsAck": RecordsAck,
     "handOver": HandOver,
-    "configAsk": ConfigAsk,
-    "statusAsk": StatusAsk,
+    "configAsk": ConfigRequest,
+    "statusAsk": StatusRequest,
     "statusReply": StatusReply,
 }
 
@@ -183,7 +183,7 @@
             standing = None
             if outcome is HoldOutcome.STANDING:
                 standing = _read_claim(body.standing)
-            return HoldClaimAck(HoldAnswer(outcome, standing, _read_row(body.row)))
+            return HoldClaimAck(HoldResult(outcome, standing, _read_row(body.row)))
         case "releaseClaim":
             token = unpack_id(body.releasedToken)
             return ReleaseHeldClaim(body.releasedShard, body.releasedEpoch, body.releasedKey, token)
--- a/turnward/peers/messages.py
+++ b/turnward/peers/messages.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from turnward.claims.pairs import HeldClaim, HoldAnswer, ShardRow
+from turnward.claims.pairs import HeldClaim, HoldResult, ShardRow
 
 __all__ = [
-    "ConfigAsk",
+    "ConfigRequest",
     "ConfigDelta",
     "ConfigEntry",
     "HandOver",
@@ -24,7 +24,7 @@
     "RecordsAck",
     "ReleaseHeldClaim",
     "RunRecord",
-    "StatusAsk",
+    "StatusRequest",
     "StatusReply",
     "stored_record_key",
     "stored_records_prefix",
@@ -129,7 +129,7 @@
     was_holder: bool
 
 
-class ConfigAsk(msgspec.Struct, frozen=True):
+class ConfigRequest(msgspec.Struct, frozen=True):
     """Send the configuration entries past ``after``."""
 
     after: int
@@ -141,7 +141,7 @@
     entries: tuple[ConfigEntry, ...]
 
 
-class StatusAsk(msgspec.Struct, frozen=True):
+class StatusRequest(msgspec.Struct, frozen=True):
     """Send your state for operators."""
 
     kind: str
@@ -164,7 +164,7 @@
 class HoldClaimAck(msgspec.Struct, frozen=True):
     """A holder's answer to a claim."""
 
-    answer: HoldAnswer
+    answer: HoldResult
 
 
 class ReleaseHeldClaim(msgspec.Struct, frozen=True):
@@ -190,9 +190,9 @@
     | RecordsAck
     | HandOver
     | HandOverAck
-    | ConfigAsk
+    | ConfigRequest
     | ConfigDelta
-    | StatusAsk
+    | StatusRequest
     | StatusReply
     | HoldClaim
     | HoldClaimAck
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -242,7 +242,7 @@
     async def _write(self, writer: BillWriter, row: RouterRow) -> None:
         done = await writer.flush()
         settled = self._settled[row.incarnation]
-        settled.update(bill.row.run_id for bill, _ in done.doubled)
+        settled.update(bill.row.run_id for bill, _ in done.duplicates)
         for bill in done.written:
             settled.add(bill.row.run_id)
             self._events.emit(
--- a/turnward/peers/tests/test_codec.py
+++ b/turnward/peers/tests/test_codec.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from turnward.claims.pairs import HeldClaim, HoldAnswer, HoldOutcome, ShardRow
+from turnward.claims.pairs import HeldClaim, HoldOutcome, HoldResult, ShardRow
 from turnward.events import Stamp
 from turnward.peers.codec import Envelope, WireError, decode, encode
 from turnward.peers.messages import (
-    ConfigAsk,
     ConfigDelta,
     ConfigEntry,
+    ConfigRequest,
     HandOver,
     HandOverAck,
     Heartbeat,
@@ -26,8 +26,8 @@
     RecordState,
     ReleaseHeldClaim,
     RunRecord,
-    StatusAsk,
     StatusReply,
+    StatusRequest,
 )
 
 CLAIM = HeldClaim("claim/w/id", "0190163d-8694-739b-aea5-966c26f8ad91", "f" * 32, "r1")
@@ -61,27 +61,27 @@
         HeartbeatAck(6),
         RecordsAck(True),
         HandOver("a", "b"),
-        ConfigAsk(3),
+        ConfigRequest(3),
         ConfigDelta((ConfigEntry(1, b"x"),)),
-        StatusAsk("status"),
+        StatusRequest("status"),
         StatusReply(b"{}"),
         PutRecords((), ("run",)),
         HandOverAck((), False),
         HoldClaim(3, 7, CLAIM),
-        HoldClaimAck(HoldAnswer(HoldOutcome.HELD)),
-        HoldClaimAck(HoldAnswer(HoldOutcome.STANDING, CLAIM)),
+        HoldClaimAck(HoldResult(HoldOutcome.HELD)),
+        HoldClaimAck(HoldResult(HoldOutcome.STANDING, CLAIM)),
         ReleaseHeldClaim(3, 7, "claim/w/id", "token"),
-        HoldClaimAck(HoldAnswer(HoldOutcome.STALE, row=ROW)),
+        HoldClaimAck(HoldResult(HoldOutcome.STALE, row=ROW)),
         MoveShard(ROW, (CLAIM, CLAIM)),
     ],
 )
-def test_every_message_comes_back(message):
+def test_every_message_round_trips(message):
     assert there_and_back(message)
 
 
 @FUZZ
 @given(records=st.lists(RECORDS, max_size=4))
-def test_any_records_come_back(records):
+def test_any_records_round_trip(records):
     assert there_and_back(PutRecords(tuple(records), tuple(r.run_id for r in records)))
     assert there_and_back(HandOverAck(tuple(records), True))
 
--- a/turnward/replay/budgets.py
+++ b/turnward/replay/budgets.py
@@ -126,7 +126,9 @@
         views = run_now(self.store.read_views(list(asks)))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        for budget, tokens in run_now(self.store.apply(self.store.plan_take(asks, views))).items():
+        for budget, tokens in run_now(
+            self.store.apply(self.store.plan_acquire(asks, views))
+        ).items():
             self.ledger.add(budget, tokens)
         self.ledger.clear_wanted(_BUDGET)
 
@@ -181,7 +183,7 @@
             match chosen.ledger.reserve(_BUDGET, tokens, now_s, first_try):
                 case Result(tag="ok", ok=reservation):
                     chosen.ledger.settle(reservation, tokens)
-                    chosen.store.note_billed(_BUDGET, 0)
+                    chosen.store.record_billed_tokens(_BUDGET, 0)
                     return True
             try:
                 chosen.take(now_s)
--- a/turnward/router/bill_task.py
+++ b/turnward/router/bill_task.py
@@ -86,14 +86,14 @@
         done = await self.writer.flush()
         for bill in done.written:
             self._note_written(bill)
-        for bill, standing in done.doubled:
+        for bill, standing in done.duplicates:
             self._note_doubled(bill, standing)
         for bill in done.orphaned:
             self._draw_anew(bill)
 
     def _note_written(self, bill: Bill) -> None:
         if bill.row.incarnation == self.writer.incarnation:
-            self._store.note_billed(bill.row.budget, bill.row.tokens)
+            self._store.record_billed_tokens(bill.row.budget, bill.row.tokens)
         self._context.metrics.count("bills.written")
         self._emit("bill.written", bill)
         self._release(bill)
--- a/turnward/router/claim_task.py
+++ b/turnward/router/claim_task.py
@@ -4,14 +4,14 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from turnward.claims import ClaimAnswer, ClaimRegister, ClaimRow
+from turnward.claims import ClaimRegister, ClaimResult, ClaimRow
 from turnward.router.task import TaskBase, Tick
 
 __all__ = ["ClaimTask", "KeepClaim", "ReleaseClaim", "TakeClaim"]
 
 
 class TakeClaim(msgspec.Struct, frozen=True, eq=False):
-    """A call waits for its claim; the answer is a ``ClaimAnswer``."""
+    """A call waits for its claim; the answer is a ``ClaimResult``."""
 
     row: ClaimRow
     epoch: int
@@ -53,8 +53,8 @@
         await self.register.flush()
         released = any(isinstance(message, ReleaseClaim | Tick) for message in messages)
         if released and self.register.abandoned_count:
-            await self.register.release_abandoned()
+            await self.register.remove_abandoned()
 
-    def _answer(self, result: ClaimAnswer, waiter: Deferred) -> None:
+    def _answer(self, result: ClaimResult, waiter: Deferred) -> None:
         if not waiter.called:
             waiter.callback(result)
--- a/turnward/router/config_task.py
+++ b/turnward/router/config_task.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from turnward.peers.messages import ConfigAsk, ConfigDelta, ConfigEntry
+from turnward.peers.messages import ConfigDelta, ConfigEntry, ConfigRequest
 from turnward.resources import ConfigLog, LogEntry
 from turnward.router.task import TaskBase
 from turnward.store import PlatformError
@@ -63,7 +63,7 @@
         row = self._context.rows.get(offer.incarnation)
         if row is None or not self.loaded or offer.revision <= self._context.config.revision:
             return
-        ask = ConfigAsk(self._context.config.revision)
+        ask = ConfigRequest(self._context.config.revision)
         answer = await self._context.peers.ask(row.peers_address, offer.incarnation, ask)
         if isinstance(answer, ConfigDelta):
             entries = [msgspec.json.decode(entry.body, type=LogEntry) for entry in answer.entries]
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -75,7 +75,7 @@
         views = await self.store.read_views(list(asks))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        taken = await self.store.apply(self.store.plan_take(asks, views))
+        taken = await self.store.apply(self.store.plan_acquire(asks, views))
         for budget in asks:
             self.ledger.clear_wanted(budget)
         for budget, tokens in taken.items():
@@ -142,14 +142,14 @@
         changes = [
             self.store.plan_return(budget, 0)
             for budget in self.ledger.budgets()
-            if self.store.unfolded_tokens(budget) and not self.ledger.free_tokens(budget)
+            if self.store.unreported_tokens(budget) and not self.ledger.free_tokens(budget)
         ]
         await self.store.apply([change for change in changes if change is not None])
 
     async def _return_all(self, message: ReturnTokens) -> None:
         spare = {}
         for budget in self.ledger.budgets():
-            if self.ledger.free_tokens(budget) > 0 or self.store.unfolded_tokens(budget):
+            if self.ledger.free_tokens(budget) > 0 or self.store.unreported_tokens(budget):
                 spare[budget] = self.ledger.free_tokens(budget)
         await self._give_back(spare)
         held = sum(self.ledger.held_tokens(budget) for budget in self.ledger.budgets())
--- a/turnward/router/membership_task.py
+++ b/turnward/router/membership_task.py
@@ -5,7 +5,7 @@
 
 from turnward.fleet import RouterRow, choose_buddies, rendezvous_weight
 from turnward.peers.errors import PeerError
-from turnward.peers.messages import Heartbeat, HeartbeatAck, StatusAsk, StatusReply
+from turnward.peers.messages import Heartbeat, HeartbeatAck, StatusReply, StatusRequest
 from turnward.router.config_task import PeerRevision
 from turnward.router.recovery_task import FenceRouter
 from turnward.router.task import TaskBase
@@ -100,7 +100,7 @@
             await self._registry.set_field(core.incarnation, "buddies", named)
         core.records.set_buddies(chosen)
         core.records.tell(None)
-        if all(core.records.outbox.has_first_copy(buddy) for buddy in chosen):
+        if all(core.records.outbox.has_initial_copy(buddy) for buddy in chosen):
             await self._registry.set_field(core.incarnation, "buddies", chosen)
             self._context.events.emit("fleet.buddies", buddies=",".join(chosen))
 
@@ -168,7 +168,7 @@
                 continue
             try:
                 answer = await self._context.peers.ask(
-                    other.peers_address, buddy, StatusAsk(f"silent/{row.incarnation}")
+                    other.peers_address, buddy, StatusRequest(f"silent/{row.incarnation}")
                 )
             except PeerError:
                 continue
--- a/turnward/router/pair_task.py
+++ b/turnward/router/pair_task.py
@@ -9,8 +9,8 @@
     ClaimHolder,
     ClaimRow,
     HeldClaim,
-    HoldAnswer,
     HoldOutcome,
+    HoldResult,
     ShardRow,
     claim_key,
     shard_key,
@@ -44,7 +44,7 @@
 class ClaimAtHolders(msgspec.Struct, frozen=True, eq=False):
     """A call waits until both holders have its claim.
 
-    The answer is a ``HoldAnswer`` with the epoch it was given at.
+    The answer is a ``HoldResult`` with the epoch it was given at.
     """
 
     row: ClaimRow
@@ -144,7 +144,7 @@
         key = claim_key(message.row.workspace, message.row.request_id)
         claim = HeldClaim(key, message.row.token, message.row.fingerprint, message.row.incarnation)
         row = self.row_of(key)
-        answer = await self._hold(row, claim) if row else HoldAnswer(HoldOutcome.STALE)
+        answer = await self._hold(row, claim) if row else HoldResult(HoldOutcome.STALE)
         if answer.row is not None and self._learn(answer.row):
             answer = await self._hold(answer.row, claim)
         if answer.outcome is HoldOutcome.STALE:
@@ -160,23 +160,23 @@
         self._rows[row.shard] = row
         return True
 
-    async def _hold(self, row: ShardRow, claim: HeldClaim) -> HoldAnswer:
+    async def _hold(self, row: ShardRow, claim: HeldClaim) -> HoldResult:
         """Record the claim at the first holder, then at the second.
 
         The order decides between two senders of the same id.
         """
-        answer = HoldAnswer(HoldOutcome.STALE)
+        answer = HoldResult(HoldOutcome.STALE)
         for holder in row.holders:
             answer = await self._hold_at(holder, row, claim)
             if answer.outcome is not HoldOutcome.HELD:
                 return answer
         return answer
 
-    async def _hold_at(self, holder: str, row: ShardRow, claim: HeldClaim) -> HoldAnswer:
+    async def _hold_at(self, holder: str, row: ShardRow, claim: HeldClaim) -> HoldResult:
         if holder == self._core().incarnation:
             return self.holder.hold(row.shard, row.epoch, claim)
         ack = await self._ask(holder, HoldClaim(row.shard, row.epoch, claim))
-        return ack.answer if isinstance(ack, HoldClaimAck) else HoldAnswer(HoldOutcome.STALE)
+        return ack.answer if isinstance(ack, HoldClaimAck) else HoldResult(HoldOutcome.STALE)
 
     async def _ask(self, incarnation: str, message):
         row = self._context.rows.get(incarnation)
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -15,7 +15,7 @@
 from turnward.operators.states import RouterStatus, StateReader
 from turnward.peers.link import PeerLinks
 from turnward.peers.messages import (
-    ConfigAsk,
+    ConfigRequest,
     HandOver,
     HandOverAck,
     Heartbeat,
@@ -27,8 +27,8 @@
     PutRecords,
     RecordsAck,
     ReleaseHeldClaim,
-    StatusAsk,
     StatusReply,
+    StatusRequest,
 )
 from turnward.router.bill_task import FlushBills
 from turnward.router.config_task import ConfigTask, PeerRevision
@@ -201,11 +201,11 @@
         if isinstance(message, HandOver):
             records = context.book.close(message.fenced)
             return HandOverAck(records, message.holder in self._incarnations)
-        if isinstance(message, ConfigAsk):
+        if isinstance(message, ConfigRequest):
             return self.config.entries_after(message.after)
         if isinstance(message, HoldClaim | ReleaseHeldClaim | MoveShard):
             return self._answer_claim(message)
-        if isinstance(message, StatusAsk):
+        if isinstance(message, StatusRequest):
             return StatusReply(msgspec.json.encode(self._status_body(message.kind)))
         return RecordsAck(False)
 
--- a/turnward/router/record_task.py
+++ b/turnward/router/record_task.py
@@ -104,7 +104,7 @@
             message.answer.callback(False)
 
     async def _send(self, buddy: str, urgent_only: bool) -> None:
-        records = self.outbox.take_unsent(buddy, BATCH_RECORDS, urgent_only)
+        records = self.outbox.next_unsent_records(buddy, BATCH_RECORDS, urgent_only)
         held = False
         row = self._context.rows.get(buddy)
         try:
@@ -122,7 +122,7 @@
         if not sent.held:
             self._failed.add(sent.buddy)
         else:
-            self.outbox.mark_held(sent.buddy, sent.records)
+            self.outbox.mark_acknowledged(sent.buddy, sent.records)
         for record in sent.records:
             self._answer_waiter(record, sent)
 
@@ -140,7 +140,7 @@
         return any(
             other != buddy
             and other not in self._failed
-            and self.outbox.awaits(other, record.run_id)
+            and self.outbox.awaits_acknowledgement(other, record.run_id)
             for other in self.buddies
         )
 
