--- a/turnward/callers/claim_desk.py
+++ b/turnward/callers/claim_desk.py
@@ -8,20 +8,20 @@
 from turnward.callers.flight import Flight
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError
 from turnward.claims import (
-    ClaimAnswer,
     ClaimOutcome,
+    ClaimResult,
     ClaimRow,
     ClaimState,
     HeldClaim,
-    HoldAnswer,
     HoldOutcome,
+    HoldResult,
     StoredAnswer,
     claim_key,
 )
 from turnward.fleet import RouterState, router_key
 from turnward.ids import creation_time_s
-from turnward.router.claim_task import KeepClaim, ReleaseClaim, WantClaim
-from turnward.router.pair_task import LookAgain, ReleaseHeld, WantHeld
+from turnward.router.claim_task import KeepClaim, ReleaseClaim, TakeClaim
+from turnward.router.pair_task import ClaimAtHolders, RefreshShards, ReleaseAtHolders
 from turnward.store import PlatformError, Put
 
 __all__ = ["ClaimDesk", "outcome_writes"]
@@ -63,7 +63,7 @@
                 return taken
             if self._context.now_s() >= until_s:
                 break
-            self._context.pairs.tell(LookAgain())
+            self._context.pairs.tell(RefreshShards())
             await task.deferLater(self._context.reactor, pause_s)
         self.release(flight, claim)
         raise RefusedError(_claims_unreachable())
@@ -88,7 +88,7 @@
             return _Stale()
         return self._judge_table(flight, claim, epoch, result)
 
-    def _judge_table(self, flight: Flight, claim: ClaimRow, epoch: int, result: ClaimAnswer):
+    def _judge_table(self, flight: Flight, claim: ClaimRow, epoch: int, result: ClaimResult):
         if result.outcome is ClaimOutcome.TAKEN:
             return None
         if result.outcome is ClaimOutcome.STANDING:
@@ -101,16 +101,16 @@
         self.release(flight, claim)
         raise RefusedError(_claims_unreachable())
 
-    async def _hold(self, claim: ClaimRow) -> HoldAnswer:
+    async def _hold(self, claim: ClaimRow) -> HoldResult:
         """Have both holders of the claim's shard record it."""
         answer: Deferred = Deferred()
-        self._context.pairs.tell(WantHeld(claim, answer))
+        self._context.pairs.tell(ClaimAtHolders(claim, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
-            return HoldAnswer(HoldOutcome.STALE)
+            return HoldResult(HoldOutcome.STALE)
 
-    async def _standing_at_holders(self, claim: ClaimRow, held: HoldAnswer) -> StoredAnswer:
+    async def _standing_at_holders(self, claim: ClaimRow, held: HoldResult) -> StoredAnswer:
         """Return the stored answer of a claim that another sender took, or refuse."""
         if held.standing.fingerprint != claim.fingerprint:
             raise RefusedError(Refusal(Reason.ID_REUSED, "this id was used for another request"))
@@ -137,18 +137,18 @@
         closed has written the claim of each record, so this one was never sent.
         """
         freed = msgspec.structs.replace(claim, token=standing.token)
-        self._context.pairs.tell(ReleaseHeld(freed))
+        self._context.pairs.tell(ReleaseAtHolders(freed))
         raise RefusedError(
             Refusal(Reason.IN_PROGRESS, "an abandoned claim is being freed", retry_after_s=2)
         )
 
-    async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimAnswer:
+    async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimResult:
         answer: Deferred = Deferred()
-        flight.core.claims.tell(WantClaim(claim, epoch, answer))
+        flight.core.claims.tell(TakeClaim(claim, epoch, answer))
         try:
             return await answer.addTimeout(CLAIM_WAIT_S, self._context.reactor)
         except defer.TimeoutError:
-            return ClaimAnswer(ClaimOutcome.STORE_UNREACHABLE)
+            return ClaimResult(ClaimOutcome.STORE_UNREACHABLE)
 
     def _require_known(self, claim: ClaimRow) -> None:
         """Refuse an id whose claim may have been lost with both holders of its shard."""
@@ -162,7 +162,7 @@
     def release(self, flight: Flight, claim: ClaimRow) -> None:
         """Give a claim up whose call was not sent."""
         flight.core.claims.tell(ReleaseClaim(claim))
-        self._context.pairs.tell(ReleaseHeld(claim))
+        self._context.pairs.tell(ReleaseAtHolders(claim))
 
     def _judge_standing(self, standing: ClaimRow, claim: ClaimRow) -> StoredAnswer:
         if standing.fingerprint != claim.fingerprint:
