--- a/turnward/gateway/attempt.py
+++ b/turnward/gateway/attempt.py
@@ -6,11 +6,11 @@
 from turnward.gateway.outcomes import NOT_RUN_STATUSES, Reason
 from turnward.gateway.streams import EventSplitter
 from turnward.http1 import (
-    AnswerMatch,
     ExchangeBase,
     ExchangeFailure,
     FailureCause,
     HeaderList,
+    ResponseMatch,
     header_value,
 )
 
@@ -58,7 +58,7 @@
         self._event_s: float | None = None
         self.record = record
         self.method = owner.method
-        self.answer_id = (owner.forwarder.dialect.request_id, owner.request_id)
+        self.response_id = (owner.forwarder.dialect.request_id, owner.request_id)
         self.ended = False
         self.sent = False
         self.sent_s = 0.0
@@ -102,7 +102,7 @@
 
     # Request.
 
-    def exchange_began(self, connection):
+    def exchange_started(self, connection):
         """Send the request head and the part of the body received so far."""
         self._connection = connection
         owner = self._owner
@@ -157,8 +157,8 @@
     def match(self, status, headers):
         """Match the response to the request; a refusal may lack the request id."""
         match = super().match(status, headers)
-        if match is AnswerMatch.INVALID and self._indicates_not_run(status, headers):
-            return AnswerMatch.OWN
+        if match is ResponseMatch.INVALID and self._indicates_not_run(status, headers):
+            return ResponseMatch.OWN
         return match
 
     def _indicates_not_run(self, status: int, headers: HeaderList) -> bool:
@@ -259,7 +259,7 @@
             self._owner.send_response_head(self._status, self._headers, self._declared_length())
             self._owner.send_response_body(b"".join(buffered))
 
-    def answer_ended(self):
+    def response_ended(self):
         """Forward the buffered response, or retry at another endpoint."""
         if self.ended:
             return
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -32,7 +32,7 @@
     HeaderList,
     InboundRequest,
     encode_request_head,
-    end_to_end,
+    end_to_end_headers,
     header_value,
     header_values,
 )
@@ -223,7 +223,7 @@
             and self._find_workspace()
             and self._read_deadline_and_prompt()
         ):
-            request.on_gone = self._caller_disconnected
+            request.on_disconnect = self._caller_disconnected
             forwarder.open_requests.add(self)
             self._reserve()
 
@@ -409,7 +409,7 @@
         forwarder = self._forwarder
         dialect = forwarder.dialect
         request = self._request
-        headers = end_to_end(request.headers, forwarder.never_forwarded)
+        headers = end_to_end_headers(request.headers, forwarder.never_forwarded)
         last_id = self._progress.last_id
         if last_id is not None:
             headers = [item for item in headers if item[0] != dialect.last_event_id]
@@ -640,7 +640,7 @@
         """Forward a response head."""
         self._request.on_pause = self._pause
         self._request.on_resume = self._resume
-        self._request.start(status, end_to_end(headers), length)
+        self._request.start(status, end_to_end_headers(headers), length)
 
     def send_response_body(self, data: bytes) -> None:
         """Forward a part of a response body."""
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -336,7 +336,7 @@
             return
         try:
             reply = await self._caller(address).call(
-                b"GET", path, timeout_s=_STATE_TIMEOUT_S, pause_s=_STATE_TIMEOUT_S
+                b"GET", path, timeout_s=_STATE_TIMEOUT_S, read_timeout_s=_STATE_TIMEOUT_S
             )
             if reply.status == 200:
                 apply(reply.body, address)
@@ -393,7 +393,7 @@
             request.answer(200, [], msgspec.msgpack.encode(loan))
             return
         pending_loan = self._accounts.lend_for_request(ask)
-        request.on_gone = pending_loan.cancel
+        request.on_disconnect = pending_loan.cancel
 
         def respond(loan: Loan) -> None:
             request.answer(200, [], msgspec.msgpack.encode(loan))
--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -87,7 +87,7 @@
 
     def _handle(self, request):
         self.requests.append(request)
-        request.on_gone = lambda: self.disconnected.append(request)
+        request.on_disconnect = lambda: self.disconnected.append(request)
         expected = header_value(request.headers, DIALECT.expected_endpoint)
         if expected is not None and expected != self.endpoint_id.encode():
             request.answer(421, [])
--- a/turnward/http.py
+++ b/turnward/http.py
@@ -27,7 +27,7 @@
 ]
 
 #: Failures that prove that no byte of the request has left this process.
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     error.ConnectError,
     # The request's own limit passed first. Not told as an error of the platform it ended routers
     # that were starting.
@@ -130,7 +130,7 @@
         sent = self._agent.request(method.encode(), url.encode(), wire_headers, producer)
         try:
             response = await sent.addTimeout(timeout_s, self._reactor)
-        except _NOT_SENT as failure:
+        except _NOT_SENT_ERRORS as failure:
             raise NotSentError(f"no connection to {url}: {failure}") from failure
         except (defer.TimeoutError, ResponseNeverReceived, ResponseFailed) as failure:
             raise SentUnansweredError(f"no answer from {url}") from failure
--- a/turnward/http1/__init__.py
+++ b/turnward/http1/__init__.py
@@ -7,22 +7,22 @@
     HeaderList,
     connection_tokens,
     encode_request_head,
-    end_to_end,
+    end_to_end_headers,
     header_value,
     header_values,
 )
 from turnward.http1.inbound import InboundFactory, InboundLimits, InboundRequest, Refusal
 from turnward.http1.outbound import (
-    AnswerMatch,
     ExchangeBase,
     ExchangeFailure,
     FailureCause,
     OutboundConnection,
     OutboundPool,
+    ResponseMatch,
 )
 
 __all__ = [
-    "AnswerMatch",
+    "ResponseMatch",
     "ExchangeBase",
     "ExchangeFailure",
     "FailureCause",
@@ -40,7 +40,7 @@
     "UnansweredError",
     "connection_tokens",
     "encode_request_head",
-    "end_to_end",
+    "end_to_end_headers",
     "header_value",
     "header_values",
 ]
--- a/turnward/http1/client.py
+++ b/turnward/http1/client.py
@@ -24,14 +24,14 @@
 
     Attributes
     ----------
-    began_s : float
+    head_received_s : float
         When its head came, by the reactor's clock; a large body comes seconds later.
     """
 
     status: int
     headers: HeaderList
     body: bytes
-    began_s: float
+    head_received_s: float
 
 
 class _Call(ExchangeBase):
@@ -65,7 +65,7 @@
         """How much of the answer's body has come."""
         return self._bytes
 
-    def exchange_began(self, connection):
+    def exchange_started(self, connection):
         self.connection = connection
         connection.send(self._request, last=True)
 
@@ -81,7 +81,7 @@
             self.cancel()
             self._fail(UnansweredError("the answer is too large"))
 
-    def answer_ended(self):
+    def response_ended(self):
         if not self.reply.called:
             body = b"".join(self._chunks)
             self.reply.callback(HttpReply(self._status, self._headers, body, self._began_s))
@@ -111,14 +111,14 @@
         The call.
     timeout_s : float
         Longest until the answer, or its first byte where a pause is allowed.
-    pause_s : float or None
+    read_timeout_s : float or None
         Longest pause within an answer; None allows none beyond ``timeout_s``.
     """
 
-    def __init__(self, reactor, call: _Call, timeout_s: float, pause_s: float | None):
+    def __init__(self, reactor, call: _Call, timeout_s: float, read_timeout_s: float | None):
         self._reactor = reactor
         self._call = call
-        self._pause_s = pause_s
+        self._pause_s = read_timeout_s
         self._seen_bytes = 0
         self._ends_s = reactor.seconds() + timeout_s + _LONGEST_ANSWER_S
         self._timer = reactor.callLater(timeout_s, self._look)
@@ -163,7 +163,7 @@
         target: bytes,
         body: bytes = b"",
         timeout_s: float = 2.0,
-        pause_s: float | None = None,
+        read_timeout_s: float | None = None,
     ) -> HttpReply:
         """Send a request and return the whole answer.
 
@@ -171,7 +171,7 @@
         ----------
         timeout_s : float
             Longest until the whole answer.
-        pause_s : float, optional
+        read_timeout_s : float, optional
             For answers whose size nothing bounds: ``timeout_s`` then counts until the first bytes,
             and the answer goes on as long as more come in each such time. Given up by the
             clock alone, 0.6 MB never arrive over a link of 5 Mbit/s in 1.2 s, however often they
@@ -192,7 +192,7 @@
         call = _Call(method, request, self._reactor.seconds)
         call.attempt = self._pool.start(call)
         self._pool.trim(self._reactor.seconds())
-        limit = _TimeLimit(self._reactor, call, timeout_s, pause_s)
+        limit = _TimeLimit(self._reactor, call, timeout_s, read_timeout_s)
         try:
             return await call.reply
         except defer.CancelledError as failure:
--- a/turnward/http1/framing.py
+++ b/turnward/http1/framing.py
@@ -14,7 +14,7 @@
     "connection_tokens",
     "encode_request_head",
     "encode_response_head",
-    "end_to_end",
+    "end_to_end_headers",
     "header_value",
     "header_values",
     "keep_alive_s",
@@ -77,7 +77,7 @@
     return tokens
 
 
-def end_to_end(headers: HeaderList, without=frozenset()) -> HeaderList:
+def end_to_end_headers(headers: HeaderList, without=frozenset()) -> HeaderList:
     """Return the headers that travel on: not those of one connection, nor ``without``."""
     dropped = connection_tokens(headers) | without
     return [
--- a/turnward/http1/inbound.py
+++ b/turnward/http1/inbound.py
@@ -63,7 +63,7 @@
         Whether the whole body is in.
     head_sent, finished, gone : bool
         How far the answer is; ``gone`` when the caller left before its end.
-    on_gone : callable or None
+    on_disconnect : callable or None
         Called once when the caller leaves before the answer's end.
     on_pause, on_resume : callable or None
         Called when the caller's connection is full, or has room again.
@@ -86,7 +86,7 @@
         "method",
         "on_body",
         "on_body_end",
-        "on_gone",
+        "on_disconnect",
         "on_pause",
         "on_resume",
         "received_s",
@@ -112,7 +112,7 @@
         self.gone = False
         self.closes = False
         self.refusal: Refusal | None = None
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.on_pause: Callable[[], None] | None = None
         self.on_resume: Callable[[], None] | None = None
         self.on_body: Callable[[bytes], None] | None = None
@@ -206,7 +206,7 @@
             self._connection.cut()
 
     def _drop_callbacks(self) -> None:
-        self.on_gone = self.on_pause = self.on_resume = None
+        self.on_disconnect = self.on_pause = self.on_resume = None
         self.on_body = self.on_body_end = None
 
     # Called by the connection.
@@ -233,10 +233,10 @@
         if self.on_body_end is not None:
             self.on_body_end()
 
-    def caller_gone(self) -> None:
+    def caller_disconnected(self) -> None:
         """Note that the caller's connection is closed."""
         self.gone = True
-        callback = self.on_gone
+        callback = self.on_disconnect
         self._drop_callbacks()
         if callback is not None and not self.finished:
             callback()
@@ -282,7 +282,7 @@
         current, self._current = self._current, None
         self._queued.clear()
         if current is not None and not current.finished:
-            current.caller_gone()
+            current.caller_disconnected()
 
     def dataReceived(self, data):
         if self._closing or self._broken is not None:
@@ -503,7 +503,7 @@
             self.cut()
             return
         if current is not None:
-            current.caller_gone()
+            current.caller_disconnected()
         self._factory.note_refused(refusal)
         body = b'{"error":"%s"}' % refusal.reason.encode()
         headers = [
--- a/turnward/http1/outbound.py
+++ b/turnward/http1/outbound.py
@@ -26,7 +26,7 @@
 )
 
 __all__ = [
-    "AnswerMatch",
+    "ResponseMatch",
     "ExchangeBase",
     "ExchangeFailure",
     "FailureCause",
@@ -76,7 +76,7 @@
     reused: bool
 
 
-class AnswerMatch(StrEnum):
+class ResponseMatch(StrEnum):
     """Whose answer a head begins."""
 
     OWN = "own"
@@ -89,26 +89,26 @@
 
     Attributes
     ----------
-    answer_id : tuple of bytes or None
+    response_id : tuple of bytes or None
         Header name and value that the answer must carry; None accepts any.
     method : bytes
         The request's method: an answer to ``HEAD`` has no body.
     """
 
-    answer_id: tuple[bytes, bytes] | None = None
+    response_id: tuple[bytes, bytes] | None = None
     method: bytes = b"GET"
 
-    def match(self, status: int, headers: HeaderList) -> AnswerMatch:
+    def match(self, status: int, headers: HeaderList) -> ResponseMatch:
         """Tell whose answer a head begins; one with another id is an earlier request's."""
-        if self.answer_id is None:
-            return AnswerMatch.OWN
-        found = header_value(headers, self.answer_id[0])
+        if self.response_id is None:
+            return ResponseMatch.OWN
+        found = header_value(headers, self.response_id[0])
         if found is None:
-            return AnswerMatch.INVALID
-        return AnswerMatch.OWN if found == self.answer_id[1] else AnswerMatch.EARLIER
+            return ResponseMatch.INVALID
+        return ResponseMatch.OWN if found == self.response_id[1] else ResponseMatch.EARLIER
 
     @abstractmethod
-    def exchange_began(self, connection: "OutboundConnection") -> None:
+    def exchange_started(self, connection: "OutboundConnection") -> None:
         """Send the request: the connection is ready."""
 
     @abstractmethod
@@ -120,7 +120,7 @@
         """Take a part of the answer's body."""
 
     @abstractmethod
-    def answer_ended(self) -> None:
+    def response_ended(self) -> None:
         """Note that the answer is whole."""
 
     @abstractmethod
@@ -233,7 +233,7 @@
         self._request_complete = False
         self.sent = False
         self.exchanges += 1
-        exchange.exchange_began(self)
+        exchange.exchange_started(self)
 
     def send(self, data: bytes, last: bool) -> None:
         """Send bytes of the request."""
@@ -282,10 +282,10 @@
         if self._exchange is None or self._complete or 100 <= status < 200:
             return
         match = self._exchange.match(status, self._headers)
-        if match is AnswerMatch.INVALID:
+        if match is ResponseMatch.INVALID:
             self._fail(FailureCause.FOREIGN)
             return
-        self._skipping = match is AnswerMatch.EARLIER
+        self._skipping = match is ResponseMatch.EARLIER
         self._in_body = True
         self._until_close = (
             header_value(self._headers, b"content-length") is None
@@ -332,7 +332,7 @@
         self._complete = True
         exchange, self._exchange = self._exchange, None
         self.resume()
-        exchange.answer_ended()
+        exchange.response_ended()
 
     def _release(self) -> None:
         """Keep the connection once all bytes that came with the answer are looked at."""
--- a/turnward/http1/tests/test_client.py
+++ b/turnward/http1/tests/test_client.py
@@ -36,35 +36,35 @@
     request.answer(200, [], b"x" * LARGE_BYTES)
 
 
-def test_a_large_answer_that_keeps_coming_is_waited_for():
-    outcome = World(large).call(1.5, timeout_s=0.3, pause_s=0.3)
+def test_call_waits_for_large_response_that_keeps_arriving():
+    outcome = World(large).call(1.5, timeout_s=0.3, read_timeout_s=0.3)
     assert len(outcome[0].body) == LARGE_BYTES
 
 
-def test_without_an_allowed_pause_the_time_limit_is_for_the_whole_answer():
+def test_without_read_timeout_the_limit_is_for_the_whole_response():
     outcome = World(large).call(0.5, timeout_s=0.3)
     with pytest.raises(UnansweredError, match="bytes of it came"):
         outcome[0].raiseException()
 
 
-def test_an_answer_that_does_not_begin_is_given_up():
-    outcome = World(lambda request: None).call(0.5, timeout_s=0.3, pause_s=0.3)
+def test_call_fails_when_no_response_begins():
+    outcome = World(lambda request: None).call(0.5, timeout_s=0.3, read_timeout_s=0.3)
     with pytest.raises(UnansweredError, match="no answer within 0.3 s$"):
         outcome[0].raiseException()
 
 
-def test_an_answer_that_stops_coming_is_given_up():
+def test_call_fails_when_response_stalls():
     def half(request):
         request.start(200, [], LARGE_BYTES)
         request.write(b"x" * 1_000)
 
     world = World(half)
-    assert not world.call(0.25, timeout_s=0.3, pause_s=0.3)
+    assert not world.call(0.25, timeout_s=0.3, read_timeout_s=0.3)
     world.network.advance(0.4)
     assert not world.machine.connections
 
 
-def test_an_answer_that_trickles_for_ever_is_given_up():
+def test_call_fails_when_response_trickles_without_end():
     def trickle(request):
         request.start(200, [], LARGE_BYTES)
         feed(request)
@@ -75,6 +75,6 @@
             world.network.clock.callLater(0.2, feed, request)
 
     world = World(trickle)
-    outcome = world.call(35.0, timeout_s=0.3, pause_s=0.3)
+    outcome = world.call(35.0, timeout_s=0.3, read_timeout_s=0.3)
     with pytest.raises(UnansweredError):
         outcome[0].raiseException()
