--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -16,9 +16,9 @@
 from twisted.internet.task import Clock
 
 from tests.helpers import run
-from turnward.callers.answers import AnswerBase, send_refusal
 from turnward.callers.chat import ChatServer
 from turnward.callers.problems import RefusedError
+from turnward.callers.response_writers import ResponseWriterBase, send_refusal
 from turnward.callers.services import ServiceRequest, ServiceServer
 from turnward.endpoints import (
     EndpointError,
@@ -84,7 +84,7 @@
         return START_S + self._reactor.seconds()
 
 
-class RecordedAnswer(AnswerBase):
+class RecordedAnswer(ResponseWriterBase):
     """Collects what a caller would read."""
 
     def __init__(self):
@@ -109,7 +109,7 @@
         self.aborted = True
 
     @property
-    def caller_gone(self):
+    def caller_disconnected(self):
         return self.gone
 
 
@@ -290,8 +290,8 @@
         )
         self.context.peers = _FakePeers(fleet, self)
         self.process = RouterProcess(self.context)
-        self._chat = ChatServer(self.context, self.process.desk)
-        self._services = ServiceServer(self.context, self.process.desk)
+        self._chat = ChatServer(self.context, self.process.coordinator)
+        self._services = ServiceServer(self.context, self.process.coordinator)
         defer.ensureDeferred(self.process.start_tasks())
 
     def deliver(self, thunk) -> None:
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -6,7 +6,7 @@
 from expression import Ok
 
 from turnward.budgets import BillWriter, GrantLedger, Reservation
-from turnward.callers.desk import FlightDesk
+from turnward.callers.request_coordinator import RequestCoordinator
 from turnward.claims import (
     ClaimHolder,
     ClaimOutcome,
@@ -73,7 +73,7 @@
 
 def without_memory_of_attempts(monkeypatch):
     """Forget that an earlier attempt may have run."""
-    monkeypatch.setattr(FlightDesk, "restore_uncertain", lambda self, flight: False)
+    monkeypatch.setattr(RequestCoordinator, "restore_uncertain", lambda self, flight: False)
 
 
 def without_order_of_configuration(monkeypatch):
--- a/tests/test_naive_versions.py
+++ b/tests/test_naive_versions.py
@@ -10,7 +10,7 @@
 from tests.fake_fleet import LIMIT_TOKENS, FakeFleet
 from tests.helpers import run
 from tests.naive import SWITCHES, without_order_of_configuration
-from turnward.callers.desk import FlightDesk
+from turnward.callers.request_coordinator import RequestCoordinator
 from turnward.resources import Change, ConfigLog
 from turnward.router.process import RouterProcess
 from turnward.routing import EndpointView
@@ -170,7 +170,7 @@
 
 
 def test_without_the_wait_a_planned_stop_leaves_with_runs_open(fleet, monkeypatch):
-    monkeypatch.setattr(FlightDesk, "open_count", property(lambda desk: 0))
+    monkeypatch.setattr(RequestCoordinator, "open_count", property(lambda desk: 0))
 
     async def emptied(self):
         return True
--- a/turnward/callers/flight.py
+++ b/turnward/callers/active_request.py
@@ -8,7 +8,7 @@
 from turnward.resources import Workspace
 from turnward.routing import EndpointView, Ticket
 
-__all__ = ["Flight", "UncertainRun"]
+__all__ = ["ActiveRequest", "UncertainRun"]
 
 
 class UncertainRun(msgspec.Struct, frozen=True):
@@ -19,7 +19,7 @@
     record: RunRecord
 
 
-class Flight:
+class ActiveRequest:
     """One request on its way.
 
     Attributes
--- a/turnward/callers/chat.py
+++ b/turnward/callers/chat.py
@@ -4,11 +4,11 @@
 import msgspec
 from twisted.internet import defer, task
 
-from turnward.callers.answers import AnswerBase, send_refusal
-from turnward.callers.desk import FlightDesk
-from turnward.callers.flight import Flight
+from turnward.callers.active_request import ActiveRequest
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError, problem_body
-from turnward.callers.replies import StoredReply
+from turnward.callers.request_coordinator import RequestCoordinator
+from turnward.callers.response_cache import CachedResponse
+from turnward.callers.response_writers import ResponseWriterBase, send_refusal
 from turnward.callers.sse import END_MARK, EventSplitter
 from turnward.endpoints import EndpointError, NotRunError, RunState, RunUncertainError
 from turnward.hashing import fingerprint
@@ -91,7 +91,7 @@
 class _Relay:
     """Passes one run's answer on to the caller and reads its usage."""
 
-    def __init__(self, answer: AnswerBase, stream: bool, headers: dict[str, str]):
+    def __init__(self, answer: ResponseWriterBase, stream: bool, headers: dict[str, str]):
         self._answer = answer
         self.stream = stream
         self._headers = headers
@@ -147,16 +147,16 @@
     ----------
     context : RouterContext
         The router's shared parts.
-    desk : FlightDesk
+    desk : RequestCoordinator
         Opens and closes flights.
     """
 
-    def __init__(self, context, desk: FlightDesk):
+    def __init__(self, context, coordinator: RequestCoordinator):
         self._context = context
-        self._desk = desk
+        self._coordinator = coordinator
 
     async def serve(
-        self, workspace: Workspace, request_id: str, body: bytes, answer: AnswerBase
+        self, workspace: Workspace, request_id: str, body: bytes, answer: ResponseWriterBase
     ) -> None:
         """Serve one request to its end.
 
@@ -165,13 +165,13 @@
         RefusedError
             Nothing of an answer was sent yet.
         """
-        self._desk.require_serving()
+        self._coordinator.require_serving()
         chat = parse_chat(body)
         model = self._context.config.resources.get("models", chat.model)
         pool = self._pool_of(chat.model)
         if model is None or pool is None:
             raise RefusedError(Refusal(Reason.NOT_FOUND, f"no model {chat.model!r}"))
-        flight = Flight(
+        flight = ActiveRequest(
             workspace,
             request_id,
             fingerprint(body),
@@ -179,15 +179,15 @@
             workspace.priority_class,
             repeatable=True,
         )
-        reply = self._desk.stored_reply(flight)
+        reply = self._coordinator.cached_response(flight)
         if reply is not None:
             self._replay(answer, reply)
             return
-        self._desk.register(flight)
+        self._coordinator.register(flight)
         try:
             await self._fly(flight, chat, model, body, answer)
         finally:
-            self._desk.close(flight)
+            self._coordinator.close(flight)
 
     def _pool_of(self, model: str) -> str | None:
         for pool in self._context.config.resources.by_kind["pools"].values():
@@ -195,26 +195,26 @@
                 return pool.name
         return None
 
-    def _replay(self, answer: AnswerBase, reply: StoredReply) -> None:
+    def _replay(self, answer: ResponseWriterBase, reply: CachedResponse) -> None:
         answer.head(reply.status, {**reply.headers, "Idempotency-Replayed": "true"})
         answer.write(reply.body)
         answer.finish()
 
-    async def _fly(self, flight: Flight, chat: ChatRequest, model, body, answer) -> None:
-        await self._desk.admit(flight)
+    async def _fly(self, flight: ActiveRequest, chat: ChatRequest, model, body, answer) -> None:
+        await self._coordinator.admit(flight)
         output_tokens = chat.output_limit_tokens(model)
-        await self._desk.reserve(flight, chat.prompt_limit_tokens() + output_tokens)
+        await self._coordinator.reserve(flight, chat.prompt_limit_tokens() + output_tokens)
         sent_body = self._engine_body(flight, body, output_tokens)
         try:
             await self._attempts(flight, chat, sent_body, answer)
         except RefusedError as refused:
-            if self._desk.restore_uncertain(flight):
+            if self._coordinator.restore_uncertain(flight):
                 await self._end_cut(flight, 0, answer, refused.refusal.detail)
                 return
-            self._desk.discard(flight)
+            self._coordinator.discard(flight)
             raise
 
-    def _engine_body(self, flight: Flight, body: bytes, output_tokens: int) -> bytes:
+    def _engine_body(self, flight: ActiveRequest, body: bytes, output_tokens: int) -> bytes:
         fields = msgspec.json.decode(body)
         fields.pop("max_completion_tokens", None)
         fields["max_tokens"] = output_tokens
@@ -224,33 +224,35 @@
             fields["stream_options"] = {"include_usage": True}
         return msgspec.json.encode(fields)
 
-    async def _attempts(self, flight: Flight, chat: ChatRequest, body: bytes, answer) -> None:
+    async def _attempts(
+        self, flight: ActiveRequest, chat: ChatRequest, body: bytes, answer
+    ) -> None:
         retry_budget = self._context.retry_budget(
             flight.workspace.name, flight.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
             last = attempt == ATTEMPT_LIMIT
-            self._desk.choose(flight, chat.prefix(), chat.prompt_limit_tokens())
-            await self._desk.hold(flight)
+            self._coordinator.choose(flight, chat.prefix(), chat.prompt_limit_tokens())
+            await self._coordinator.hold(flight)
             relay = _Relay(answer, chat.stream, {"X-Request-Id": flight.request_id})
-            self._desk.sent(flight)
+            self._coordinator.sent(flight)
             try:
                 await self._run(flight, body, relay, answer)
             except NotRunError as failure:
-                self._desk.returned(flight, ok=False)
+                self._coordinator.returned(flight, ok=False)
                 if not last and retry_budget.take():
                     continue
                 raise RefusedError(self._endpoint_refused(failure)) from failure
             except RunUncertainError as failure:
-                self._desk.returned(flight, ok=False)
-                self._desk.note_uncertain(flight)
-                unseen = relay.relayed_events == 0 and not answer.caller_gone
+                self._coordinator.returned(flight, ok=False)
+                self._coordinator.note_uncertain(flight)
+                unseen = relay.relayed_events == 0 and not answer.caller_disconnected
                 if unseen and not last and retry_budget.take():
                     await self._cancel(flight)
                     continue
                 await self._end_cut(flight, relay.relayed_events, answer, str(failure))
                 return
-            self._desk.returned(flight, ok=True)
+            self._coordinator.returned(flight, ok=True)
             retry_budget.record_success()
             await self._end_whole(flight, relay, answer)
             return
@@ -258,17 +260,17 @@
     def _endpoint_refused(self, failure) -> Refusal:
         return Refusal(Reason.ENDPOINT_REFUSED, str(failure), retry_after_s=1)
 
-    async def _run(self, flight: Flight, body: bytes, relay: _Relay, answer) -> None:
+    async def _run(self, flight: ActiveRequest, body: bytes, relay: _Relay, answer) -> None:
         """Run once, resuming a cut stream where it broke off."""
         url = flight.view.endpoint.url
         call = defer.ensureDeferred(
             self._context.engines.chat(url, flight.run_id, body, relay.head, relay.data)
         )
-        answer.on_gone = call.cancel
+        answer.on_disconnect = call.cancel
         try:
             await call
         except RunUncertainError:
-            if answer.caller_gone or relay.relayed_events == 0:
+            if answer.caller_disconnected or relay.relayed_events == 0:
                 raise
             await self._resume(flight, relay, answer)
         except defer.CancelledError as failure:
@@ -276,7 +278,7 @@
         if relay.status == _OK and flight.record and relay.stream and not relay.whole:
             await self._resume(flight, relay, answer)
 
-    async def _resume(self, flight: Flight, relay: _Relay, answer) -> None:
+    async def _resume(self, flight: ActiveRequest, relay: _Relay, answer) -> None:
         url = flight.view.endpoint.url
         for _ in range(RESUME_LIMIT):
             relay.begin_resumed()
@@ -289,7 +291,7 @@
             call = defer.ensureDeferred(
                 self._context.engines.resume(url, flight.run_id, relay.relayed_events, relay.data)
             )
-            answer.on_gone = call.cancel
+            answer.on_disconnect = call.cancel
             try:
                 await call
             except RunUncertainError:
@@ -300,13 +302,15 @@
                 return
         raise RunUncertainError("the stream ended without its end mark")
 
-    async def _cancel(self, flight: Flight) -> None:
+    async def _cancel(self, flight: ActiveRequest) -> None:
         try:
             await self._context.engines.cancel(flight.view.endpoint.url, flight.run_id)
         except EndpointError:
             self._context.metrics.count("runs.uncancelled")
 
-    async def _end_whole(self, flight: Flight, relay: _Relay, answer: AnswerBase) -> None:
+    async def _end_whole(
+        self, flight: ActiveRequest, relay: _Relay, answer: ResponseWriterBase
+    ) -> None:
         """End a whole answer, then settle by its usage or else by the engine's account."""
         self._send_end(flight, relay, answer)
         used_tokens = relay.used_tokens
@@ -314,7 +318,7 @@
             used_tokens = await self._account(flight, relay.relayed_events)
         self._settle(flight, used_tokens or 0)
 
-    def _send_end(self, flight: Flight, relay: _Relay, answer: AnswerBase) -> None:
+    def _send_end(self, flight: ActiveRequest, relay: _Relay, answer: ResponseWriterBase) -> None:
         body = relay.body() if not relay.stream or relay.status != _OK else b""
         if relay.stream and relay.status == _OK:
             answer.finish()
@@ -326,14 +330,14 @@
             "X-Request-Id": flight.request_id,
         }
         if outcome is Outcome.RAN:
-            reply = StoredReply(flight.fingerprint, relay.status, headers, body)
-            self._desk.keep_reply(flight, reply)
+            reply = CachedResponse(flight.fingerprint, relay.status, headers, body)
+            self._coordinator.cache_response(flight, reply)
         answer.head(relay.status, headers)
         answer.write(body)
         answer.finish()
 
     async def _end_cut(
-        self, flight: Flight, relayed_events: int, answer: AnswerBase, cause: str
+        self, flight: ActiveRequest, relayed_events: int, answer: ResponseWriterBase, cause: str
     ) -> None:
         """End an answer that broke off: tell the caller at once, then settle by the account."""
         refusal = Refusal(Reason.ENDPOINT_FAILED, cause, Outcome.UNKNOWN, 1)
@@ -345,14 +349,14 @@
             send_refusal(answer, refusal, flight.request_id)
         self._settle(flight, await self._account(flight, relayed_events))
 
-    def _settle(self, flight: Flight, used_tokens: int) -> None:
+    def _settle(self, flight: ActiveRequest, used_tokens: int) -> None:
         """Bill what was used; a run that used nothing leaves the id free for a retry."""
         if used_tokens:
-            self._desk.bill(flight, used_tokens)
+            self._coordinator.bill(flight, used_tokens)
         else:
-            self._desk.discard(flight)
+            self._coordinator.discard(flight)
 
-    async def _account(self, flight: Flight, relayed_events: int) -> int:
+    async def _account(self, flight: ActiveRequest, relayed_events: int) -> int:
         """Return a run's usage by the engine's account, else what was passed on.
 
         A run that goes on with nobody to read it is cancelled.
--- a/turnward/callers/claim_desk.py
+++ b/turnward/callers/claim_coordinator.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer, task
 from twisted.internet.defer import Deferred
 
-from turnward.callers.flight import Flight
+from turnward.callers.active_request import ActiveRequest
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError
 from turnward.claims import (
     ClaimOutcome,
@@ -24,7 +24,7 @@
 from turnward.router.pair_task import ClaimAtHolders, RefreshShards, ReleaseAtHolders
 from turnward.store import PlatformError, Put
 
-__all__ = ["ClaimDesk", "outcome_writes"]
+__all__ = ["ClaimCoordinator", "outcome_writes"]
 
 #: Seconds a call waits for its claim.
 CLAIM_WAIT_S = 2.0
@@ -38,7 +38,7 @@
     """The shard's row is not the one known here."""
 
 
-class ClaimDesk:
+class ClaimCoordinator:
     """Takes claims at the pair of holders and in the table.
 
     Parameters
@@ -50,7 +50,7 @@
     def __init__(self, context):
         self._context = context
 
-    async def take(self, flight: Flight, claim: ClaimRow) -> StoredAnswer | None:
+    async def take(self, flight: ActiveRequest, claim: ClaimRow) -> StoredAnswer | None:
         """Take the claim, or return the stored answer of the run that took it before.
 
         Both holders of the claim's shard must record it, and the table too
@@ -68,7 +68,7 @@
         self.release(flight, claim)
         raise RefusedError(_claims_unreachable())
 
-    async def _take_once(self, flight: Flight, claim: ClaimRow):
+    async def _take_once(self, flight: ActiveRequest, claim: ClaimRow):
         """Take the claim by the shard's row as known here; ``_Stale`` when that has changed.
 
         Nothing was sent and no row was written then, so the same claim may be
@@ -88,7 +88,7 @@
             return _Stale()
         return self._judge_table(flight, claim, epoch, result)
 
-    def _judge_table(self, flight: Flight, claim: ClaimRow, epoch: int, result: ClaimResult):
+    def _judge_table(self, flight: ActiveRequest, claim: ClaimRow, epoch: int, result: ClaimResult):
         if result.outcome is ClaimOutcome.TAKEN:
             return None
         if result.outcome is ClaimOutcome.STANDING:
@@ -142,7 +142,9 @@
             Refusal(Reason.IN_PROGRESS, "an abandoned claim is being freed", retry_after_s=2)
         )
 
-    async def _claim_in_table(self, flight: Flight, claim: ClaimRow, epoch: int) -> ClaimResult:
+    async def _claim_in_table(
+        self, flight: ActiveRequest, claim: ClaimRow, epoch: int
+    ) -> ClaimResult:
         answer: Deferred = Deferred()
         flight.core.claims.tell(TakeClaim(claim, epoch, answer))
         try:
@@ -159,7 +161,7 @@
                 Refusal(Reason.OUTCOME_UNKNOWN, "claims of this time are lost", Outcome.UNKNOWN)
             )
 
-    def release(self, flight: Flight, claim: ClaimRow) -> None:
+    def release(self, flight: ActiveRequest, claim: ClaimRow) -> None:
         """Give a claim up whose call was not sent."""
         flight.core.claims.tell(ReleaseClaim(claim))
         self._context.pairs.tell(ReleaseAtHolders(claim))
--- a/turnward/callers/face.py
+++ b/turnward/callers/http_resource.py
@@ -5,31 +5,31 @@
 from twisted.web import resource, server
 from twisted.web.http import HTTPChannel
 
-from turnward.callers.answers import HttpAnswer, send_refusal
 from turnward.callers.chat import ChatServer
-from turnward.callers.desk import FlightDesk
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError, problem_body
+from turnward.callers.request_coordinator import RequestCoordinator
+from turnward.callers.response_writers import HttpResponseWriter, send_refusal
 from turnward.callers.services import ServiceRequest, ServiceServer
 from turnward.events import get_log
 from turnward.ids import key_hash, new_id
 from turnward.resources import Workspace
 
-__all__ = ["CallersFace", "LimitedSite"]
+__all__ = ["CallerResource", "LimitedSite"]
 
 #: Longest id that callers may choose.
 ID_LIMIT = 128
 
 
-class CallersFace(resource.Resource):
+class CallerResource(resource.Resource):
     """Turns HTTP requests into flights, and refusals into problem details."""
 
     isLeaf = True
 
-    def __init__(self, context, desk: FlightDesk):
+    def __init__(self, context, coordinator: RequestCoordinator):
         super().__init__()
         self._context = context
-        self._chat = ChatServer(context, desk)
-        self._services = ServiceServer(context, desk)
+        self._chat = ChatServer(context, coordinator)
+        self._services = ServiceServer(context, coordinator)
         self._log = get_log("callers")
         self._workspaces: dict[str, Workspace] = {}
         self._workspaces_revision = -1
@@ -44,7 +44,7 @@
         return server.NOT_DONE_YET
 
     async def _serve(self, request) -> None:
-        answer = HttpAnswer(request)
+        answer = HttpResponseWriter(request)
         request_id = ""
         try:
             request_id = _request_id(request)
@@ -57,7 +57,7 @@
             failure = Refusal(Reason.ENDPOINT_FAILED, "internal failure", Outcome.UNKNOWN)
             send_refusal(answer, failure, request_id)
 
-    def _refuse(self, refusal: Refusal, request_id: str, answer: HttpAnswer) -> None:
+    def _refuse(self, refusal: Refusal, request_id: str, answer: HttpResponseWriter) -> None:
         self._context.metrics.count(f"answers.{refusal.reason}")
         self._context.events.emit(
             "request.answered",
--- a/turnward/callers/desk.py
+++ b/turnward/callers/request_coordinator.py
@@ -9,9 +9,9 @@
 from twisted.internet.defer import Deferred
 
 from turnward.budgets import Bill, BillRow, RefusalReason
-from turnward.callers.flight import Flight, UncertainRun
+from turnward.callers.active_request import ActiveRequest, UncertainRun
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError
-from turnward.callers.replies import ReplyStore, StoredReply
+from turnward.callers.response_cache import CachedResponse, ResponseCache
 from turnward.fleet import live_check
 from turnward.ids import new_id
 from turnward.peers.messages import RecordState, RunRecord, stored_record_key
@@ -21,7 +21,7 @@
 from turnward.routing import Choice, RouteRequest
 from turnward.store import Committed, Delete, PlatformError, Put, Transaction, Write
 
-__all__ = ["FlightDesk"]
+__all__ = ["RequestCoordinator"]
 
 #: Seconds after which a caller refused for want of reachable tokens may come back.
 UNREACHABLE_RETRY_S = 2
@@ -29,7 +29,7 @@
 HOLD_TRIES = 2
 
 
-class FlightDesk:
+class RequestCoordinator:
     """Opens, holds and closes flights.
 
     Parameters
@@ -43,8 +43,8 @@
     def __init__(self, context, core):
         self._context = context
         self._core = core
-        self._open: dict[tuple[str, str], Flight] = {}
-        self._replies = ReplyStore()
+        self._open: dict[tuple[str, str], ActiveRequest] = {}
+        self._replies = ResponseCache()
 
     @property
     def open_count(self) -> int:
@@ -62,7 +62,7 @@
             Refusal(reason, "this router takes no requests now", retry_after_s=_SHORT_RETRY_S)
         )
 
-    def register(self, flight: Flight) -> None:
+    def register(self, flight: ActiveRequest) -> None:
         """Take a request in; refuse a second one with the same id while the first runs."""
         key = (flight.workspace.name, flight.request_id)
         known = self._open.get(key)
@@ -80,22 +80,22 @@
         flight.core = self._core()
         flight.started_s = self._context.now_s()
 
-    def stored_reply(self, flight: Flight) -> StoredReply | None:
+    def cached_response(self, flight: ActiveRequest) -> CachedResponse | None:
         """Return the kept answer of the same request, if there is one."""
         reply = self._replies.get(flight.workspace.name, flight.request_id)
         if reply is not None:
             self._refuse_known(reply.fingerprint, flight)
         return reply
 
-    def keep_reply(self, flight: Flight, reply: StoredReply) -> None:
+    def cache_response(self, flight: ActiveRequest, reply: CachedResponse) -> None:
         """Keep a whole answer for a repeat of the request."""
         self._replies.keep(flight.workspace.name, flight.request_id, reply)
 
-    def _refuse_known(self, fingerprint: str, flight: Flight) -> None:
+    def _refuse_known(self, fingerprint: str, flight: ActiveRequest) -> None:
         if fingerprint != flight.fingerprint:
             raise RefusedError(Refusal(Reason.ID_REUSED, "this id was used for another request"))
 
-    async def admit(self, flight: Flight) -> None:
+    async def admit(self, flight: ActiveRequest) -> None:
         """Wait for a place in the pool, in order of priority."""
         answer: Deferred = Deferred()
         queue = self._context.queue(flight.pool)
@@ -126,14 +126,14 @@
             retry_after_s=max(1, math.ceil(retry_after_s)),
         )
 
-    def _no_endpoint(self, flight: Flight) -> Refusal:
+    def _no_endpoint(self, flight: ActiveRequest) -> Refusal:
         return Refusal(
             Reason.NO_ENDPOINT,
             f"no endpoint of pool {flight.pool} takes work",
             retry_after_s=_SHORT_RETRY_S,
         )
 
-    async def reserve(self, flight: Flight, tokens: int) -> None:
+    async def reserve(self, flight: ActiveRequest, tokens: int) -> None:
         """Set the request's worst case aside, waiting shortly for a grant."""
         budget = flight.workspace.budget
         ledger = flight.core.ledger
@@ -151,7 +151,7 @@
                         raise RefusedError(self._no_tokens(flight, tokens, reason))
             first_try = False
 
-    async def _want(self, flight: Flight, limit_s: float) -> bool:
+    async def _want(self, flight: ActiveRequest, limit_s: float) -> bool:
         answer: Deferred = Deferred()
         flight.core.grants.tell(RequestTokens(flight.workspace.budget, answer))
         try:
@@ -159,7 +159,7 @@
         except defer.TimeoutError:
             return False
 
-    def _no_tokens(self, flight: Flight, tokens: int, reason: RefusalReason) -> Refusal:
+    def _no_tokens(self, flight: ActiveRequest, tokens: int, reason: RefusalReason) -> Refusal:
         self._context.metrics.count(f"refused.{reason}")
         self._context.events.emit(
             "request.refused",
@@ -177,7 +177,7 @@
             retry_after_s=UNREACHABLE_RETRY_S,
         )
 
-    def choose(self, flight: Flight, prefix: str, prompt_tokens: int) -> Choice:
+    def choose(self, flight: ActiveRequest, prefix: str, prompt_tokens: int) -> Choice:
         """Choose an endpoint, one not tried before if there is any."""
         ready = self._context.views.candidates(flight.pool)
         if not ready:
@@ -198,7 +198,7 @@
         )
         return choice
 
-    async def hold(self, flight: Flight) -> None:
+    async def hold(self, flight: ActiveRequest) -> None:
         """Have the run's record held in a second place before anything is sent."""
         before = flight.record
         record = RunRecord(
@@ -225,7 +225,7 @@
         if before is not None:
             flight.core.records.put(msgspec.structs.replace(before, state=RecordState.BILLED))
 
-    async def _hold_freshly(self, flight: Flight, record: RunRecord) -> bool:
+    async def _hold_freshly(self, flight: ActiveRequest, record: RunRecord) -> bool:
         """Hold the record; once more if it took so long that it may be settled already.
 
         A router that was frozen meanwhile may have been fenced and recovered.
@@ -238,7 +238,7 @@
                 return True
         return False
 
-    async def _hold_at_buddy(self, flight: Flight, record: RunRecord) -> bool:
+    async def _hold_at_buddy(self, flight: ActiveRequest, record: RunRecord) -> bool:
         if flight.core.fenced:
             return False
         answer: Deferred = Deferred()
@@ -251,7 +251,7 @@
             held = False
         return held or await self._hold_in_table(flight, record)
 
-    async def _hold_in_table(self, flight: Flight, record: RunRecord) -> bool:
+    async def _hold_in_table(self, flight: ActiveRequest, record: RunRecord) -> bool:
         key = stored_record_key(flight.core.incarnation, record.run_id)
         transaction = Transaction(
             (live_check(flight.core.incarnation),), (Put(key, msgspec.to_builtins(record)),)
@@ -265,7 +265,7 @@
         flight.stored_record_key = key
         return True
 
-    def sent(self, flight: Flight) -> None:
+    def sent(self, flight: ActiveRequest) -> None:
         """Note that the request goes out now."""
         flight.view_sent_s = self._context.now_s()
         self._context.views.sent(flight.view)
@@ -277,11 +277,11 @@
             run_id=flight.run_id,
         )
 
-    def note_uncertain(self, flight: Flight) -> None:
+    def note_uncertain(self, flight: ActiveRequest) -> None:
         """Remember that the present attempt may have run."""
         flight.uncertain_run = UncertainRun(flight.view, flight.run_id, flight.record)
 
-    def restore_uncertain(self, flight: Flight) -> bool:
+    def restore_uncertain(self, flight: ActiveRequest) -> bool:
         """Go back to the attempt that may have run; False when there is none."""
         run = flight.uncertain_run
         if run is None:
@@ -294,12 +294,14 @@
         flight.view, flight.run_id, flight.record = run.view, run.run_id, run.record
         return True
 
-    def returned(self, flight: Flight, ok: bool) -> None:
+    def returned(self, flight: ActiveRequest, ok: bool) -> None:
         """Note that the endpoint has answered or failed."""
         now_s = self._context.now_s()
         self._context.views.ended(flight.view, ok, now_s - flight.view_sent_s, now_s)
 
-    def bill(self, flight: Flight, used_tokens: int, extra_writes: tuple[Write, ...] = ()) -> None:
+    def bill(
+        self, flight: ActiveRequest, used_tokens: int, extra_writes: tuple[Write, ...] = ()
+    ) -> None:
         """Settle the reservation and queue the bill of a run that was sent."""
         tokens = flight.core.ledger.settle(flight.reservation, used_tokens)
         if tokens < used_tokens:
@@ -322,18 +324,18 @@
             extra_writes = (*extra_writes, Delete(flight.stored_record_key))
         flight.core.add_bill(AddBill(Bill(row, extra_writes), closed))
 
-    def discard(self, flight: Flight) -> None:
+    def discard(self, flight: ActiveRequest) -> None:
         """Undo reservation and record of a request that was proved not to have run."""
         if flight.reservation is not None and flight.reservation.open:
             flight.core.ledger.settle(flight.reservation, 0)
         if flight.record is not None:
             self._drop_record(flight)
 
-    def _drop_record(self, flight: Flight) -> None:
+    def _drop_record(self, flight: ActiveRequest) -> None:
         dropped = msgspec.structs.replace(flight.record, state=RecordState.BILLED)
         flight.core.records.put(dropped)
 
-    def close(self, flight: Flight) -> None:
+    def close(self, flight: ActiveRequest) -> None:
         """Let the flight go; its place in the pool is free."""
         now_s = self._context.now_s()
         if flight.ticket is not None:
--- a/turnward/callers/replies.py
+++ b/turnward/callers/response_cache.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["ReplyStore", "StoredReply"]
+__all__ = ["ResponseCache", "CachedResponse"]
 
 #: Answers kept.
 KEPT_REPLIES = 1_000
@@ -13,7 +13,7 @@
 KEPT_REPLY_BYTES = 65_536
 
 
-class StoredReply(msgspec.Struct, frozen=True):
+class CachedResponse(msgspec.Struct, frozen=True):
     """A whole answer, kept for a repeat of the request."""
 
     fingerprint: str
@@ -22,17 +22,17 @@
     body: bytes
 
 
-class ReplyStore:
+class ResponseCache:
     """The latest whole answers, by workspace and request id."""
 
     def __init__(self):
-        self._replies: OrderedDict[tuple[str, str], StoredReply] = OrderedDict()
+        self._replies: OrderedDict[tuple[str, str], CachedResponse] = OrderedDict()
 
-    def get(self, workspace: str, request_id: str) -> StoredReply | None:
+    def get(self, workspace: str, request_id: str) -> CachedResponse | None:
         """Return a kept answer or None."""
         return self._replies.get((workspace, request_id))
 
-    def keep(self, workspace: str, request_id: str, reply: StoredReply) -> None:
+    def keep(self, workspace: str, request_id: str, reply: CachedResponse) -> None:
         """Keep an answer, unless it is too large; the oldest goes first."""
         if len(reply.body) > KEPT_REPLY_BYTES:
             return
--- a/turnward/callers/answers.py
+++ b/turnward/callers/response_writers.py
@@ -6,20 +6,20 @@
 from turnward.callers.problems import Refusal, problem_body
 from turnward.http import abort_request
 
-__all__ = ["AnswerBase", "HttpAnswer", "send_refusal"]
+__all__ = ["ResponseWriterBase", "HttpResponseWriter", "send_refusal"]
 
 
-class AnswerBase(ABC):
+class ResponseWriterBase(ABC):
     """The one answer of one request.
 
     Attributes
     ----------
-    on_gone : callable
+    on_disconnect : callable
         Called without arguments when the caller goes away before the end.
     """
 
     def __init__(self):
-        self.on_gone = lambda: None
+        self.on_disconnect = lambda: None
 
     @abstractmethod
     def head(self, status: int, headers: dict[str, str]) -> None:
@@ -39,11 +39,11 @@
 
     @property
     @abstractmethod
-    def caller_gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
         """Whether nobody reads any more."""
 
 
-class HttpAnswer(AnswerBase):
+class HttpResponseWriter(ResponseWriterBase):
     """An answer over a ``twisted.web`` request."""
 
     def __init__(self, request):
@@ -54,7 +54,7 @@
         request.notifyFinish().addErrback(self._lost)
 
     def head(self, status, headers):
-        """See ``AnswerBase.head``."""
+        """See ``ResponseWriterBase.head``."""
         if self._gone:
             return
         self._request.setResponseCode(status)
@@ -62,34 +62,34 @@
             self._request.setHeader(name, value)
 
     def write(self, data):
-        """See ``AnswerBase.write``."""
+        """See ``ResponseWriterBase.write``."""
         if not self._gone:
             self._request.write(data)
 
     def finish(self):
-        """See ``AnswerBase.finish``."""
+        """See ``ResponseWriterBase.finish``."""
         if not self._gone and not self._ended:
             self._ended = True
             self._request.finish()
 
     def abort(self):
-        """See ``AnswerBase.abort``."""
+        """See ``ResponseWriterBase.abort``."""
         if not self._gone and not self._ended:
             self._ended = True
             abort_request(self._request)
 
     @property
-    def caller_gone(self):
-        """See ``AnswerBase.caller_gone``."""
+    def caller_disconnected(self):
+        """See ``ResponseWriterBase.caller_disconnected``."""
         return self._gone
 
     def _lost(self, _reason) -> None:
         self._gone = True
         if not self._ended:
-            self.on_gone()
+            self.on_disconnect()
 
 
-def send_refusal(answer: AnswerBase, refusal: Refusal, request_id: str) -> None:
+def send_refusal(answer: ResponseWriterBase, refusal: Refusal, request_id: str) -> None:
     """Send a refusal as problem details and end the answer."""
     headers = {"Content-Type": "application/problem+json", "X-Outcome": str(refusal.outcome)}
     if refusal.retry_after_s is not None:
--- a/turnward/callers/services.py
+++ b/turnward/callers/services.py
@@ -3,11 +3,11 @@
 
 import msgspec
 
-from turnward.callers.answers import AnswerBase
-from turnward.callers.claim_desk import ClaimDesk, outcome_writes
-from turnward.callers.desk import FlightDesk
-from turnward.callers.flight import Flight
+from turnward.callers.active_request import ActiveRequest
+from turnward.callers.claim_coordinator import ClaimCoordinator, outcome_writes
 from turnward.callers.problems import Outcome, Reason, Refusal, RefusedError
+from turnward.callers.request_coordinator import RequestCoordinator
+from turnward.callers.response_writers import ResponseWriterBase
 from turnward.claims import (
     ClaimRow,
     ClaimState,
@@ -43,17 +43,21 @@
     ----------
     context : RouterContext
         The router's shared parts.
-    desk : FlightDesk
+    desk : RequestCoordinator
         Opens and closes flights.
     """
 
-    def __init__(self, context, desk: FlightDesk):
+    def __init__(self, context, coordinator: RequestCoordinator):
         self._context = context
-        self._desk = desk
-        self._claims = ClaimDesk(context)
+        self._coordinator = coordinator
+        self._claims = ClaimCoordinator(context)
 
     async def serve(
-        self, workspace: Workspace, request_id: str, call: ServiceRequest, answer: AnswerBase
+        self,
+        workspace: Workspace,
+        request_id: str,
+        call: ServiceRequest,
+        answer: ResponseWriterBase,
     ) -> None:
         """Serve one call to its end.
 
@@ -62,20 +66,20 @@
         RefusedError
             Nothing of an answer was sent yet.
         """
-        self._desk.require_serving()
+        self._coordinator.require_serving()
         pool = self._context.config.resources.get("pools", call.service)
         if pool is None or pool.kind != "service":
             raise RefusedError(Refusal(Reason.NOT_FOUND, f"no service {call.service!r}"))
         repeatable, priority_class = _rule(pool, call, workspace)
         digest = fingerprint(call.method.encode(), call.path.encode(), call.body)
-        flight = Flight(workspace, request_id, digest, pool.name, priority_class, repeatable)
+        flight = ActiveRequest(workspace, request_id, digest, pool.name, priority_class, repeatable)
         if not repeatable:
             self._require_young(request_id)
-        self._desk.register(flight)
+        self._coordinator.register(flight)
         try:
             await self._fly(flight, call, pool, answer)
         finally:
-            self._desk.close(flight)
+            self._coordinator.close(flight)
 
     def _require_young(self, request_id: str) -> None:
         minted = creation_time_s(request_id)
@@ -89,44 +93,44 @@
                 )
             )
 
-    async def _fly(self, flight: Flight, call: ServiceRequest, pool: Pool, answer) -> None:
-        await self._desk.admit(flight)
-        await self._desk.reserve(flight, pool.tokens_per_call)
+    async def _fly(self, flight: ActiveRequest, call: ServiceRequest, pool: Pool, answer) -> None:
+        await self._coordinator.admit(flight)
+        await self._coordinator.reserve(flight, pool.tokens_per_call)
         try:
             if flight.repeatable:
                 await self._run_repeatable(flight, call, pool, answer)
             else:
                 await self._run_once(flight, call, pool, answer)
         except RefusedError as refused:
-            if self._desk.restore_uncertain(flight):
-                self._desk.bill(flight, 0)
+            if self._coordinator.restore_uncertain(flight):
+                self._coordinator.bill(flight, 0)
                 raise RefusedError(_as_unknown(refused.refusal)) from refused
             if flight.reservation.open:
-                self._desk.discard(flight)
+                self._coordinator.discard(flight)
             raise
 
-    async def _run_repeatable(self, flight: Flight, call, pool: Pool, answer) -> None:
+    async def _run_repeatable(self, flight: ActiveRequest, call, pool: Pool, answer) -> None:
         retry_budget = self._context.retry_budget(
             flight.workspace.name, flight.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
-            self._desk.choose(flight, "", 0)
-            await self._desk.hold(flight)
+            self._coordinator.choose(flight, "", 0)
+            await self._coordinator.hold(flight)
             try:
                 response = await self._send(flight, call)
             except (NotRunError, RunUncertainError) as failure:
                 if isinstance(failure, RunUncertainError):
-                    self._desk.note_uncertain(flight)
+                    self._coordinator.note_uncertain(flight)
                 if attempt < ATTEMPT_LIMIT and retry_budget.take():
                     continue
                 refusal = Refusal(Reason.ENDPOINT_FAILED, str(failure), retry_after_s=1)
                 raise RefusedError(refusal) from failure
             retry_budget.record_success()
-            self._desk.bill(flight, pool.tokens_per_call)
+            self._coordinator.bill(flight, pool.tokens_per_call)
             _pass_on(answer, response, flight.request_id)
             return
 
-    async def _run_once(self, flight: Flight, call, pool: Pool, answer) -> None:
+    async def _run_once(self, flight: ActiveRequest, call, pool: Pool, answer) -> None:
         claim = ClaimRow(
             flight.request_id,
             flight.workspace.name,
@@ -137,7 +141,7 @@
         stored = await self._claims.take(flight, claim)
         if stored is not None:
             _replay(answer, stored, flight.request_id)
-            self._desk.discard(flight)
+            self._coordinator.discard(flight)
             return
         try:
             await self._send_claimed(flight, call, pool, claim, answer)
@@ -146,13 +150,13 @@
                 self._claims.release(flight, claim)
             raise
 
-    async def _send_claimed(self, flight: Flight, call, pool: Pool, claim, answer) -> None:
+    async def _send_claimed(self, flight: ActiveRequest, call, pool: Pool, claim, answer) -> None:
         retry_budget = self._context.retry_budget(
             flight.workspace.name, flight.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
-            self._desk.choose(flight, "", 0)
-            await self._desk.hold(flight)
+            self._coordinator.choose(flight, "", 0)
+            await self._coordinator.hold(flight)
             try:
                 response = await self._send(flight, call)
             except NotRunError as failure:
@@ -162,19 +166,19 @@
                     Refusal(Reason.ENDPOINT_REFUSED, str(failure), retry_after_s=1)
                 ) from failure
             except RunUncertainError as failure:
-                self._desk.bill(flight, 0, outcome_writes(claim, ClaimState.UNKNOWN, None))
+                self._coordinator.bill(flight, 0, outcome_writes(claim, ClaimState.UNKNOWN, None))
                 raise RefusedError(
                     Refusal(Reason.OUTCOME_UNKNOWN, str(failure), Outcome.UNKNOWN)
                 ) from failure
             content_type = response.headers.get("content-type", "application/octet-stream")
             stored = StoredAnswer(response.status, content_type, response.body)
             writes = outcome_writes(claim, ClaimState.DONE, stored)
-            self._desk.bill(flight, pool.tokens_per_call, writes)
+            self._coordinator.bill(flight, pool.tokens_per_call, writes)
             _pass_on(answer, response, flight.request_id)
             return
 
-    async def _send(self, flight: Flight, call: ServiceRequest):
-        self._desk.sent(flight)
+    async def _send(self, flight: ActiveRequest, call: ServiceRequest):
+        self._coordinator.sent(flight)
         headers = {"Content-Type": call.content_type, "Idempotency-Key": flight.request_id}
         try:
             response = await self._context.services.call(
@@ -186,9 +190,9 @@
                 headers,
             )
         except (NotRunError, RunUncertainError):
-            self._desk.returned(flight, ok=False)
+            self._coordinator.returned(flight, ok=False)
             raise
-        self._desk.returned(flight, ok=True)
+        self._coordinator.returned(flight, ok=True)
         return response
 
 
@@ -204,7 +208,7 @@
     return call.method in IDEMPOTENT_METHODS, workspace.priority_class
 
 
-def _pass_on(answer: AnswerBase, response, request_id: str) -> None:
+def _pass_on(answer: ResponseWriterBase, response, request_id: str) -> None:
     headers = {
         "Content-Type": response.headers.get("content-type", "application/octet-stream"),
         "X-Outcome": str(Outcome.RAN),
@@ -215,7 +219,7 @@
     answer.finish()
 
 
-def _replay(answer: AnswerBase, stored: StoredAnswer, request_id: str) -> None:
+def _replay(answer: ResponseWriterBase, stored: StoredAnswer, request_id: str) -> None:
     headers = {
         "Content-Type": stored.content_type,
         "X-Outcome": str(Outcome.RAN),
--- a/turnward/callers/tests/test_claim_desk.py
+++ b/turnward/callers/tests/test_claim_coordinator.py
@@ -4,7 +4,7 @@
 import pytest
 from twisted.internet import defer, task
 
-from turnward.callers.claim_desk import CLAIM_WAIT_S, ClaimDesk
+from turnward.callers.claim_coordinator import CLAIM_WAIT_S, ClaimCoordinator
 from turnward.callers.problems import RefusedError
 from turnward.claims import ClaimOutcome, ClaimResult, ClaimRow, HoldOutcome, HoldResult
 from turnward.router.claim_task import ReleaseClaim, TakeClaim
@@ -57,7 +57,7 @@
         self.pairs = Pairs(holds, known)
         self.core = self
         self.claims = Claims(table)
-        self.taken = defer.ensureDeferred(ClaimDesk(self).take(self, CLAIM))
+        self.taken = defer.ensureDeferred(ClaimCoordinator(self).take(self, CLAIM))
         self.outcome = []
         self.taken.addBoth(self.outcome.append)
 
@@ -70,20 +70,20 @@
         return self.outcome[0]
 
 
-def test_change_of_holders_delays_a_claim_and_refuses_none():
+def test_claim_succeeds_after_change_of_shard_holders():
     world = World([HoldOutcome.STALE, HoldOutcome.STALE, HoldOutcome.HELD], [ClaimOutcome.TAKEN])
     assert world.outcome == []
     assert world.run() is None
     assert world.reactor.seconds() < CLAIM_WAIT_S + 0.1
 
 
-def test_shard_that_got_holders_meanwhile_is_looked_up():
+def test_claim_refreshes_shards_when_the_table_write_is_stale():
     world = World([HoldOutcome.HELD], [ClaimOutcome.STALE, ClaimOutcome.TAKEN], known=False)
     assert world.run() is None
 
 
 @pytest.mark.parametrize("outcome", [HoldOutcome.STALE])
-def test_claim_whose_holders_stay_unknown_is_given_up_and_released(outcome):
+def test_claim_is_refused_and_released_when_holders_stay_unknown(outcome):
     world = World([outcome] * 20, [])
     failure = world.run()
     assert failure.check(RefusedError)
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -5,8 +5,8 @@
 from twisted.internet import defer, task
 from twisted.web import server
 
-from turnward.callers.desk import FlightDesk
-from turnward.callers.face import CallersFace, LimitedSite
+from turnward.callers.http_resource import CallerResource, LimitedSite
+from turnward.callers.request_coordinator import RequestCoordinator
 from turnward.endpoints import HttpEngineClient, HttpServiceClient
 from turnward.events import EventLog, HybridClock, Metrics, SystemClock, get_log, matches
 from turnward.fleet import RouterRow, RouterState
@@ -69,7 +69,7 @@
             )
         context.peers.handler = self.answer_peer
         self.core = RouterCore(context, new_incarnation(settings.instance), self._fenced)
-        self.desk = FlightDesk(context, self._current_core)
+        self.coordinator = RequestCoordinator(context, self._current_core)
         self.config = ConfigTask(context)
         self.recovery = RecoveryTask(context, self._current_core, self._fenced_now)
         self.pairs = PairTask(context, self._current_core, self._fenced_now)
@@ -119,7 +119,7 @@
         operators = OperatorsFace(self.context, states, self.leave)
         self._listen(settings.operators_address, server.Site(operators))
         await self.start_tasks()
-        callers = CallersFace(self.context, self.desk)
+        callers = CallerResource(self.context, self.coordinator)
         self._listen(settings.callers_address, LimitedSite(callers, settings))
         self._log.info("The router serves.", incarnation=self.core.incarnation)
 
@@ -244,7 +244,7 @@
             context.settings.zone,
             context.machine.state,
             context.config.revision,
-            self.desk.open_count,
+            self.coordinator.open_count,
             len(core.bills.writer.pending),
             context.book.count(),
             self.pairs.holder.count(),
@@ -282,7 +282,7 @@
         await self._pause(context.settings.drain_grace_s)
         for port in self._ports[1:]:
             port.stopListening()
-        while self.desk.open_count and context.now_s() < deadline_s:
+        while self.coordinator.open_count and context.now_s() < deadline_s:
             await self._pause(_STOP_POLL_S)
         while context.now_s() < deadline_s and not await self._emptied():
             await self._pause(_STOP_POLL_S)
