--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -25,8 +25,8 @@
     EngineClientBase,
     LoadReport,
     NotRunError,
-    RunAccount,
     RunState,
+    RunStatus,
     RunUncertainError,
     ServiceClientBase,
 )
@@ -196,13 +196,13 @@
     async def resume(self, url, run_id, start, on_data):
         raise RunUncertainError("no resume here")
 
-    async def account(self, url, run_id):
+    async def run_status(self, url, run_id):
         if self._router.cut_from_endpoints:
             raise EndpointError("cut")
         run_record = self._world.runs.get(run_id)
         if run_record is None:
-            return RunAccount(RunState.NEVER_SEEN)
-        return RunAccount(run_record["state"], run_record["used_tokens"])
+            return RunStatus(RunState.NEVER_SEEN)
+        return RunStatus(run_record["state"], run_record["used_tokens"])
 
     async def cancel(self, url, run_id):
         if run_id not in self._world.runs:
@@ -213,7 +213,7 @@
                 "state": RunState.CANCELLED,
                 "used_tokens": 0,
             }
-        return await self.account(url, run_id)
+        return await self.run_status(url, run_id)
 
     async def load(self, url):
         return LoadReport(0, 0)
--- a/turnward/callers/chat.py
+++ b/turnward/callers/chat.py
@@ -364,12 +364,12 @@
         url = flight.view.endpoint.url
         for _ in range(ACCOUNT_TRIES):
             try:
-                account = await self._context.engines.account(url, flight.run_id)
-                if account.state in (RunState.RUNNING, RunState.NEVER_SEEN):
-                    account = await self._context.engines.cancel(url, flight.run_id)
+                run_status = await self._context.engines.run_status(url, flight.run_id)
+                if run_status.state in (RunState.RUNNING, RunState.NEVER_SEEN):
+                    run_status = await self._context.engines.cancel(url, flight.run_id)
             except EndpointError:
-                account = None
-            if account is not None and account.state is not RunState.RUNNING:
-                return account.used_tokens
+                run_status = None
+            if run_status is not None and run_status.state is not RunState.RUNNING:
+                return run_status.used_tokens
             await task.deferLater(self._context.reactor, ACCOUNT_PAUSE_S)
         return relayed_events
--- a/turnward/cli/commands.py
+++ b/turnward/cli/commands.py
@@ -56,9 +56,9 @@
 
     def gateway(self, settings: str):
         """Run one gateway with a settings file; ``store_address`` is the platform's."""
-        from turnward.cli.serving import serve_home_gateway
+        from turnward.cli.serving import serve_standalone_gateway
 
-        serve_home_gateway(str(settings))
+        serve_standalone_gateway(str(settings))
 
     def gateway_apply(self, url: str, *files: str):
         """Write gateway resources to the platform's table.
@@ -157,12 +157,12 @@
         around_s : float
             Seconds before and after in which changes of belief are shown too.
         """
-        from turnward.events.story import read_lines, render_line, tell_story
+        from turnward.events.request_history import collect_history, read_lines, render_line
 
         if not files:
             raise CommandError("expected one or more files")
         lines = [line for name in files for line in read_lines(Path(str(name)))]
-        story = tell_story(lines, str(request_id), around_s)
+        story = collect_history(lines, str(request_id), around_s)
         if not story:
             raise CommandError(f"no line names request {request_id}")
         for line in story:
--- a/turnward/cli/serving.py
+++ b/turnward/cli/serving.py
@@ -19,7 +19,7 @@
 
 __all__ = [
     "serve_engine",
-    "serve_home_gateway",
+    "serve_standalone_gateway",
     "serve_platform",
     "serve_router",
     "serve_service",
@@ -49,7 +49,7 @@
     reactor.run(installSignalHandlers=False)
 
 
-def serve_home_gateway(path: str) -> None:
+def serve_standalone_gateway(path: str) -> None:
     """Run a gateway over the platform's table until its planned stop is over."""
 
     def make_store(reactor, address, _metrics):
--- a/turnward/endpoints/__init__.py
+++ b/turnward/endpoints/__init__.py
@@ -7,8 +7,8 @@
     EngineClientBase,
     LoadReport,
     NotRunError,
-    RunAccount,
     RunState,
+    RunStatus,
     RunUncertainError,
     ServiceClientBase,
 )
@@ -20,7 +20,7 @@
     "HttpServiceClient",
     "LoadReport",
     "NotRunError",
-    "RunAccount",
+    "RunStatus",
     "RunState",
     "RunUncertainError",
     "ServiceClientBase",
--- a/turnward/endpoints/clients.py
+++ b/turnward/endpoints/clients.py
@@ -8,7 +8,7 @@
     EngineClientBase,
     LoadReport,
     NotRunError,
-    RunAccount,
+    RunStatus,
     RunUncertainError,
     ServiceClientBase,
 )
@@ -77,13 +77,13 @@
         except (NotSentError, SentUnansweredError) as failure:
             raise RunUncertainError(str(failure)) from failure
 
-    async def account(self, url, run_id):
+    async def run_status(self, url, run_id):
         """See ``EngineClientBase.account``."""
-        return await self._ask("GET", f"{url}/v1/runs/{run_id}", RunAccount)
+        return await self._ask("GET", f"{url}/v1/runs/{run_id}", RunStatus)
 
     async def cancel(self, url, run_id):
         """See ``EngineClientBase.cancel``."""
-        return await self._ask("POST", f"{url}/v1/runs/{run_id}/cancel", RunAccount)
+        return await self._ask("POST", f"{url}/v1/runs/{run_id}/cancel", RunStatus)
 
     async def load(self, url):
         """See ``EngineClientBase.load``."""
--- a/turnward/endpoints/core.py
+++ b/turnward/endpoints/core.py
@@ -15,7 +15,7 @@
     "EngineClientBase",
     "LoadReport",
     "NotRunError",
-    "RunAccount",
+    "RunStatus",
     "RunState",
     "RunUncertainError",
     "ServiceClientBase",
@@ -43,7 +43,7 @@
     NEVER_SEEN = "never_seen"
 
 
-class RunAccount(msgspec.Struct, frozen=True):
+class RunStatus(msgspec.Struct, frozen=True):
     """An engine's account of one run, in tokens of prompt and output together."""
 
     state: RunState
@@ -94,7 +94,7 @@
         """Pass on the rest of a stream from event number ``start``."""
 
     @abstractmethod
-    async def account(self, url: str, run_id: str) -> RunAccount:
+    async def run_status(self, url: str, run_id: str) -> RunStatus:
         """Return what the engine knows of a run.
 
         Raises
@@ -104,7 +104,7 @@
         """
 
     @abstractmethod
-    async def cancel(self, url: str, run_id: str) -> RunAccount:
+    async def cancel(self, url: str, run_id: str) -> RunStatus:
         """Stop a run and return its account."""
 
     @abstractmethod
--- a/turnward/events/__init__.py
+++ b/turnward/events/__init__.py
@@ -2,7 +2,7 @@
 """Events, logs, metrics and clocks."""
 
 from turnward.clocks import ClockBase, ManualClock, SystemClock
-from turnward.events.clock import HybridClock, Stamp
+from turnward.events.clock import HybridClock, HybridTimestamp
 from turnward.events.logs import configure_logs, get_log
 from turnward.events.metrics import Metrics
 from turnward.events.timeline import Event, EventLog, matches, merge_events, render_event
@@ -14,7 +14,7 @@
     "HybridClock",
     "ManualClock",
     "Metrics",
-    "Stamp",
+    "HybridTimestamp",
     "SystemClock",
     "configure_logs",
     "get_log",
--- a/turnward/events/clock.py
+++ b/turnward/events/clock.py
@@ -10,10 +10,10 @@
 
 from turnward.clocks import ClockBase
 
-__all__ = ["HybridClock", "Stamp"]
+__all__ = ["HybridClock", "HybridTimestamp"]
 
 
-class Stamp(msgspec.Struct, frozen=True, order=True):
+class HybridTimestamp(msgspec.Struct, frozen=True, order=True):
     """A hybrid time stamp: wall time in milliseconds, then a counter."""
 
     wall_ms: int
@@ -25,17 +25,17 @@
 
     def __init__(self, clock: ClockBase):
         self._clock = clock
-        self._last = Stamp(0, 0)
+        self._last = HybridTimestamp(0, 0)
 
-    def tick(self) -> Stamp:
+    def tick(self) -> HybridTimestamp:
         """Return the stamp of a local event."""
         wall_ms = int(self._clock.wall_s() * 1000)
         if wall_ms > self._last.wall_ms:
-            self._last = Stamp(wall_ms, 0)
+            self._last = HybridTimestamp(wall_ms, 0)
         else:
-            self._last = Stamp(self._last.wall_ms, self._last.counter + 1)
+            self._last = HybridTimestamp(self._last.wall_ms, self._last.counter + 1)
         return self._last
 
-    def observe(self, stamp: Stamp) -> None:
+    def observe(self, stamp: HybridTimestamp) -> None:
         """Take in the stamp of a received message."""
         self._last = max(self._last, stamp)
--- a/turnward/events/story.py
+++ b/turnward/events/request_history.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-__all__ = ["GatewayLine", "parse_line", "read_lines", "render_line", "tell_story"]
+__all__ = ["GatewayLine", "parse_line", "read_lines", "render_line", "collect_history"]
 
 #: What changes what a process believes, whichever request it serves.
-BELIEFS = frozenset(
+STATE_CHANGE_EVENTS = frozenset(
     (
         "process.started",
         "process.stopping",
@@ -39,7 +39,7 @@
     )
 )
 #: Changes of one workspace's tokens; shown where the request's workspace is known.
-TOKENS = frozenset(
+TOKEN_EVENTS = frozenset(
     (
         "prepaid.taken",
         "prepaid.returned",
@@ -49,7 +49,7 @@
     )
 )
 #: What tells why a content is held back; shown of all processes, since all of them hold it back.
-CONTENTS = frozenset(("attempt.failed", "content.held", "content.tried", "content.cleared"))
+CONTENT_EVENTS = frozenset(("attempt.failed", "content.held", "content.tried", "content.cleared"))
 
 _PREFIX = re.compile(r"^\s*(-?\d+(?:\.\d+)?)?[^{]*$")
 
@@ -96,7 +96,9 @@
         return [line for line in parsed if line is not None]
 
 
-def tell_story(lines: list[GatewayLine], request_id: str, around_s: float) -> list[GatewayLine]:
+def collect_history(
+    lines: list[GatewayLine], request_id: str, around_s: float
+) -> list[GatewayLine]:
     """Return the lines on a request, and what its processes came to believe around it."""
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
@@ -111,12 +113,12 @@
     def belongs(line: GatewayLine) -> bool:
         if line.fields.get("request") == request_id:
             return True
-        if line.event in CONTENTS and line.fields.get("content") in contents:
+        if line.event in CONTENT_EVENTS and line.fields.get("content") in contents:
             return True
         if line.incarnation not in incarnations or not since_s <= line.time_s <= until_s:
             return False
-        return line.event in BELIEFS or (
-            line.event in TOKENS and line.fields.get("workspace") in workspaces
+        return line.event in STATE_CHANGE_EVENTS or (
+            line.event in TOKEN_EVENTS and line.fields.get("workspace") in workspaces
         )
 
     return sorted((line for line in lines if belongs(line)), key=lambda line: line.time_s)
--- a/turnward/events/tests/test_events.py
+++ b/turnward/events/tests/test_events.py
@@ -3,7 +3,15 @@
 
 import socket
 
-from turnward.events import Event, EventLog, HybridClock, ManualClock, Metrics, Stamp, merge_events
+from turnward.events import (
+    Event,
+    EventLog,
+    HybridClock,
+    HybridTimestamp,
+    ManualClock,
+    Metrics,
+    merge_events,
+)
 
 
 def test_stamps_follow_messages_between_clocks_that_differ():
@@ -30,7 +38,7 @@
     log.put_back(log.take_unshipped())
     assert log.take_unshipped() == [first, second]
     assert isinstance(first, Event)
-    assert first.stamp == Stamp(1_000_000, 0)
+    assert first.stamp == HybridTimestamp(1_000_000, 0)
 
 
 def test_metrics_go_out_by_statsd():
--- a/turnward/events/timeline.py
+++ b/turnward/events/timeline.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from turnward.events.clock import HybridClock, Stamp
+from turnward.events.clock import HybridClock, HybridTimestamp
 
 __all__ = ["Event", "EventLog", "matches", "merge_events", "render_event"]
 
@@ -29,7 +29,7 @@
         Further figures.
     """
 
-    stamp: Stamp
+    stamp: HybridTimestamp
     kind: str
     instance: str
     zone: str
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -7,7 +7,14 @@
 
 import pytest
 
-from turnward.events.story import BELIEFS, CONTENTS, TOKENS, read_lines, render_line, tell_story
+from turnward.events.request_history import (
+    CONTENT_EVENTS,
+    STATE_CHANGE_EVENTS,
+    TOKEN_EVENTS,
+    collect_history,
+    read_lines,
+    render_line,
+)
 from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.logs import BoundedLineWriter, GatewayLog
 from turnward.gateway.tests import harness as harness_module
@@ -44,7 +51,7 @@
 
 
 def test_story_refers_only_to_documented_events():
-    assert events_on_page() >= BELIEFS | TOKENS | CONTENTS
+    assert events_on_page() >= STATE_CHANGE_EVENTS | TOKEN_EVENTS | CONTENT_EVENTS
 
 
 class LoggingHarness:
@@ -63,7 +70,7 @@
         monkeypatch.setattr(harness_module, "ListLog", make_log)
 
     def story(self, request_id):
-        lines = tell_story(read_lines(self.path), request_id, 1e9)
+        lines = collect_history(read_lines(self.path), request_id, 1e9)
         assert lines
         return [render_line(line) for line in lines]
 
--- a/turnward/operators/face.py
+++ b/turnward/operators/api.py
@@ -15,20 +15,20 @@
 from turnward.settings import SettingsError
 from turnward.store import PlatformError
 
-__all__ = ["ApplyBody", "OperatorsFace"]
+__all__ = ["ApplyRequest", "OperatorsApi"]
 
 _CONFLICT = 409
 _BAD_REQUEST = 400
 _UNAVAILABLE = 503
 
 
-class ApplyBody(msgspec.Struct, frozen=True):
+class ApplyRequest(msgspec.Struct, frozen=True):
     """Changes to apply together."""
 
     changes: list[Change]
 
 
-class OperatorsFace(resource.Resource):
+class OperatorsApi(resource.Resource):
     """Reads and writes resources, and shows what the fleet does.
 
     Parameters
@@ -37,17 +37,17 @@
         The router's shared parts.
     states : StateReader
         Gathers states.
-    on_leave : callable
+    on_shutdown : callable
         Begins this router's planned stop.
     """
 
     isLeaf = True
 
-    def __init__(self, context, states, on_leave):
+    def __init__(self, context, states, on_shutdown):
         super().__init__()
         self._context = context
         self._states = states
-        self._on_leave = on_leave
+        self._on_leave = on_shutdown
         self._config_log = ConfigLog(context.table)
         self._log = get_log("operators")
 
@@ -105,7 +105,7 @@
         return key_hash(key) == self._context.settings.operator_key_sha256
 
     async def _apply(self, request) -> tuple[int, object]:
-        body = msgspec.json.decode(request.content.read(), type=ApplyBody)
+        body = msgspec.json.decode(request.content.read(), type=ApplyRequest)
         unknown = [change.kind for change in body.changes if change.kind not in KINDS]
         if unknown:
             raise SettingsError([f"kind: expected one of {', '.join(KINDS)}, found {unknown[0]}"])
--- a/turnward/peers/codec.py
+++ b/turnward/peers/codec.py
@@ -9,7 +9,7 @@
 
 from turnward.claims.pairs import HeldClaim, HoldOutcome, HoldResult, ShardRow
 from turnward.errors import TurnwardError
-from turnward.events import Stamp
+from turnward.events import HybridTimestamp
 from turnward.peers.messages import (
     ConfigDelta,
     ConfigEntry,
@@ -63,7 +63,7 @@
 
     number: int
     incarnation: str
-    stamp: Stamp
+    stamp: HybridTimestamp
     message: Message
 
 
@@ -204,7 +204,10 @@
     try:
         wire = _SCHEMA.Envelope.from_bytes_packed(frame)
         return Envelope(
-            wire.number, wire.incarnation, Stamp(wire.wallMs, wire.counter), _message(wire)
+            wire.number,
+            wire.incarnation,
+            HybridTimestamp(wire.wallMs, wire.counter),
+            _message(wire),
         )
     except (capnp.KjException, msgspec.MsgspecError, ValueError) as failure:
         raise WireError(f"damaged frame: {failure}") from failure
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -192,16 +192,16 @@
         if url is None or not self._is_engine(record.endpoint):
             return 0
         try:
-            account = await self._engines.account(url, record.run_id)
-            gone = account.state is RunState.RUNNING and account.reader_gone
-            if gone or account.state is RunState.NEVER_SEEN:
+            run_status = await self._engines.run_status(url, record.run_id)
+            gone = run_status.state is RunState.RUNNING and run_status.reader_gone
+            if gone or run_status.state is RunState.NEVER_SEEN:
                 # A frozen router may still send a run never seen; cancelled, it is refused.
-                account = await self._engines.cancel(url, record.run_id)
+                run_status = await self._engines.cancel(url, record.run_id)
         except EndpointError:
             return None
-        if account.state is RunState.RUNNING:
+        if run_status.state is RunState.RUNNING:
             return None
-        return min(account.used_tokens, record.reserved_tokens)
+        return min(run_status.used_tokens, record.reserved_tokens)
 
     def _emit(self, kind: str, record: RunRecord, of: str) -> None:
         """Tell on the time line what the buddies held of a run."""
--- a/turnward/peers/tests/test_codec.py
+++ b/turnward/peers/tests/test_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from turnward.claims.pairs import HeldClaim, HoldOutcome, HoldResult, ShardRow
-from turnward.events import Stamp
+from turnward.events import HybridTimestamp
 from turnward.peers.codec import Envelope, WireError, decode, encode
 from turnward.peers.messages import (
     ConfigDelta,
@@ -50,7 +50,7 @@
 
 
 def there_and_back(message):
-    envelope = Envelope(7, "entry-1.0123456789ab", Stamp(1, 2), message)
+    envelope = Envelope(7, "entry-1.0123456789ab", HybridTimestamp(1, 2), message)
     return decode(encode(envelope)) == envelope
 
 
--- a/turnward/resources/checks.py
+++ b/turnward/resources/checks.py
@@ -50,7 +50,9 @@
         found = []
         for kind, named in self.by_kind.items():
             for resource in named.values():
-                found.extend(f"{kind}.{resource.name}.{fault}" for fault in _own_faults(resource))
+                found.extend(
+                    f"{kind}.{resource.name}.{fault}" for fault in _resource_faults(resource)
+                )
         for kind, field, target in _REFERENCES:
             found.extend(self._reference_faults(kind, field, target))
         return found + self._key_faults()
@@ -76,7 +78,7 @@
         ]
 
 
-def _own_faults(resource: Resource) -> list[str]:
+def _resource_faults(resource: Resource) -> list[str]:
     found = []
     if not _NAME.fullmatch(resource.name):
         found.append(f"name: expected letters, digits, '.', '_' and '-', found {resource.name!r}")
--- a/turnward/resources/log.py
+++ b/turnward/resources/log.py
@@ -210,16 +210,16 @@
             try:
                 result = await self._table.transact(transaction)
             except OutcomeUnknownError:
-                if await self._stands(last, apply_id):
+                if await self._is_committed(last, apply_id):
                     return last
                 continue
             if isinstance(result, Committed):
                 return last
-            if await self._stands(last, apply_id):
+            if await self._is_committed(last, apply_id):
                 return last
         raise VersionConflictError("the configuration keeps changing", "try again")
 
-    async def _stands(self, revision: int, apply_id: str) -> bool:
+    async def _is_committed(self, revision: int, apply_id: str) -> bool:
         key = entry_key(revision)
         row = (await self._table.read([key])).get(key)
         return row is not None and row.value["apply_id"] == apply_id
--- a/turnward/standins/engine.py
+++ b/turnward/standins/engine.py
@@ -4,7 +4,7 @@
 import msgspec
 from twisted.web import resource, server
 
-from turnward.endpoints import LoadReport, RunAccount, RunState
+from turnward.endpoints import LoadReport, RunState, RunStatus
 from turnward.http import abort_request
 from turnward.standins.batch import BatchSettings, CacheEvent, EngineBatch, EngineRun
 
@@ -187,15 +187,15 @@
         self.batch.cancel(run.engine_run)
         return msgspec.json.encode(self._account(run_id))
 
-    def _account(self, run_id: str) -> RunAccount:
+    def _account(self, run_id: str) -> RunStatus:
         run = self.runs.get(run_id)
         if run is None:
-            return RunAccount(RunState.NEVER_SEEN)
+            return RunStatus(RunState.NEVER_SEEN)
         engine_run = run.engine_run
         state = RunState.RUNNING
         if engine_run.finished:
             state = RunState.CANCELLED if engine_run.cancelled else RunState.FINISHED
-        return RunAccount(state, engine_run.used_tokens, not run.readers)
+        return RunStatus(state, engine_run.used_tokens, not run.readers)
 
     def _schedule(self, delay_s: float) -> None:
         self._reactor.callLater(delay_s, self._step)
