--- a/tests/naive.py
+++ b/tests/naive.py
@@ -6,14 +6,14 @@
 from expression import Ok
 
 from turnward.budgets import BillWriter, GrantLedger, Reservation
-from turnward.callers.desk import FlightDesk
+from turnward.callers.request_coordinator import RequestCoordinator
 from turnward.claims import (
-    ClaimAnswer,
     ClaimHolder,
     ClaimOutcome,
     ClaimRegister,
-    HoldAnswer,
+    ClaimResult,
     HoldOutcome,
+    HoldResult,
 )
 from turnward.resources import ConfigState
 from turnward.router.record_task import RecordTask
@@ -57,10 +57,10 @@
 
     async def take_all(self):
         waiting, self._waiting = self._waiting, deque()
-        self._answer(waiting, ClaimAnswer(ClaimOutcome.TAKEN))
+        self._answer(waiting, ClaimResult(ClaimOutcome.TAKEN))
 
     def hold_all(self, shard, epoch, claim):
-        return HoldAnswer(HoldOutcome.HELD)
+        return HoldResult(HoldOutcome.HELD)
 
     monkeypatch.setattr(ClaimRegister, "flush", take_all)
     monkeypatch.setattr(ClaimHolder, "hold", hold_all)
@@ -73,7 +73,7 @@
 
 def without_memory_of_attempts(monkeypatch):
     """Forget that an earlier attempt may have run."""
-    monkeypatch.setattr(FlightDesk, "restore_uncertain", lambda self, flight: False)
+    monkeypatch.setattr(RequestCoordinator, "restore_uncertain", lambda self, flight: False)
 
 
 def without_order_of_configuration(monkeypatch):
--- a/turnward/cli/serving.py
+++ b/turnward/cli/serving.py
@@ -8,7 +8,7 @@
 
 from turnward.events import configure_logs, get_log
 from turnward.gateway import Dialect, load_gateway_settings, serve_gateway
-from turnward.gateway.home import HomeSources, TableRows
+from turnward.gateway.standalone import StandaloneSources, TableRows
 from turnward.http import HttpClient
 from turnward.router.process import RouterProcess
 from turnward.rows import RowChange, RowKey, VersionedTransaction
@@ -19,7 +19,7 @@
 
 __all__ = [
     "serve_engine",
-    "serve_home_gateway",
+    "serve_standalone_gateway",
     "serve_platform",
     "serve_router",
     "serve_service",
@@ -49,14 +49,14 @@
     reactor.run(installSignalHandlers=False)
 
 
-def serve_home_gateway(path: str) -> None:
+def serve_standalone_gateway(path: str) -> None:
     """Run a gateway over the platform's table until its planned stop is over."""
 
     def make_store(reactor, address, _metrics):
         url = f"http://{address[0]}:{address[1]}"
         return TableRows(reactor, HttpTable(HttpClient(reactor), url, PLATFORM_TIMEOUT_S))
 
-    serve_gateway(path, load_gateway_settings(path), Dialect(), make_store, HomeSources())
+    serve_gateway(path, load_gateway_settings(path), Dialect(), make_store, StandaloneSources())
 
 
 def write_gateway_rows(url: str, rows: list[tuple[RowKey, bytes]]) -> None:
--- a/turnward/gateway/__init__.py
+++ b/turnward/gateway/__init__.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The gateway: passes requests through to pools of endpoints, under budgets and rules."""
+"""The gateway: forwards requests to pools of endpoints within the workspaces' budgets."""
 
 from turnward.gateway.configuration import (
     Configuration,
     EndpointEntry,
     EndpointPool,
     EngineTraits,
-    Repeat,
+    RetryPolicy,
     Route,
     RouteTable,
     WarmUpTraits,
@@ -20,8 +20,8 @@
 from turnward.gateway.process import GatewayProcess, SourcesBase, new_incarnation
 from turnward.gateway.serving import serve_gateway
 from turnward.gateway.settings import GatewaySettings, load_gateway_settings
-from turnward.gateway.sources import ConfigurationListener, EndpointsListener
 from turnward.gateway.state import EndpointsSnapshot, FleetState
+from turnward.gateway.table_listeners import ConfigurationListener, EndpointsListener
 from turnward.gateway.zone_orders import ZoneOrder, ZoneOrders
 
 __all__ = [
@@ -40,7 +40,7 @@
     "GatewayMetrics",
     "GatewayProcess",
     "GatewaySettings",
-    "Repeat",
+    "RetryPolicy",
     "Route",
     "RouteTable",
     "SourcesBase",
--- /dev/null
+++ b/turnward/gateway/endpoint_reporter.py
@@ -0,0 +1,121 @@
+# SPDX-License-Identifier: BSD-3-Clause
+"""Reports of endpoint changes: log events, metrics and updates to other routers."""
+
+from collections.abc import Callable
+
+from turnward.gateway.availability import UnavailableReason
+from turnward.gateway.choice import EndpointBook
+from turnward.gateway.dialect import Dialect
+from turnward.gateway.endpoint_record import EndpointRecord
+from turnward.gateway.engine_speed import EventGaps
+from turnward.gateway.feedback_exchange import FeedbackExchange, FeedbackUpdate
+from turnward.gateway.state import FleetState
+from turnward.http1 import HeaderList, header_value
+
+__all__ = ["EndpointReporter"]
+
+
+class EndpointReporter:
+    """Reports each change of an endpoint's state as this router sees it.
+
+    Parameters
+    ----------
+    clock : callable
+        Monotonic clock in seconds.
+    state : FleetState
+        Gives the version of the endpoint entries in effect.
+    endpoints : EndpointBook
+        Endpoints to which feedback from other routers is applied.
+    dialect : Dialect
+        Header names.
+    metrics, log
+        Receivers of the reports.
+
+    Attributes
+    ----------
+    feedback_exchange : FeedbackExchange
+        Feedback to this router and to others, exchanged among routers.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        state: FleetState,
+        endpoints: EndpointBook,
+        dialect: Dialect,
+        metrics,
+        log,
+    ):
+        self._clock = clock
+        self._state = state
+        self._endpoints = endpoints
+        self._dialect = dialect
+        self._metrics = metrics
+        self._log = log
+        self.feedback_exchange = FeedbackExchange(clock, self.handle_peer_feedback)
+
+    def report_speed_class(
+        self, record: EndpointRecord, gaps: EventGaps, usual_gaps: EventGaps
+    ) -> None:
+        """Report an engine whose speed changed relative to the others of its pool."""
+        self._log.belief(
+            "endpoint.pace",
+            endpoint=record.incarnation,
+            pool=record.entry.pool,
+            pace=record.speed_class.name.lower(),
+            event_gap_ms=round(gaps.quiet_gap_ms, 1),
+            usual_gap_ms=round(usual_gaps.quiet_gap_ms, 1),
+            usual_held_up_ms=round(usual_gaps.held_up_gap_ms, 1),
+        )
+
+    def report_feedback(
+        self, record: EndpointRecord, reason: UnavailableReason, response_headers: HeaderList
+    ) -> None:
+        """Report the feedback of a response, and announce it to other routers."""
+        availability = record.availability
+        backoff_s = availability.backoff_left_s(self._clock())
+        self.feedback_exchange.record(record.incarnation, availability.draining, backoff_s)
+        self._metrics.feedback_reports.labels(record.entry.pool, reason).inc()
+        request_id = header_value(response_headers, self._dialect.request_id) or b""
+        self._log.belief(
+            "endpoint.said",
+            request=request_id.decode("latin-1"),
+            endpoint=record.incarnation,
+            pool=record.entry.pool,
+            hold=reason,
+            rest_s=round(backoff_s, 3),
+            endpoints=self._state.endpoints_version,
+        )
+
+    def report_rate_limit(
+        self, record: EndpointRecord, limit_per_s: float | None, response_headers: HeaderList
+    ) -> None:
+        """Report that a response set or lifted an endpoint's rate limit."""
+        request_id = header_value(response_headers, self._dialect.request_id) or b""
+        self._log.belief(
+            "endpoint.limited",
+            request=request_id.decode("latin-1"),
+            endpoint=record.incarnation,
+            pool=record.entry.pool,
+            limit_per_s=limit_per_s,
+            endpoints=self._state.endpoints_version,
+        )
+
+    def report_peer_rate_limit(self, incarnation: str, limit_per_s: float | None) -> None:
+        """Report that another router announced a changed rate limit."""
+        self._log.belief("endpoint.told_limit", endpoint=incarnation, limit_per_s=limit_per_s)
+
+    def handle_peer_feedback(self, update: FeedbackUpdate) -> None:
+        """Deprioritize an endpoint that drains or backs off according to another router."""
+        record = self._endpoints.get(update.endpoint)
+        if record is None:
+            return
+        backoff_s = update.backoff_left_ms / 1_000
+        record.availability.apply_peer_feedback(update.draining, backoff_s, self._clock())
+        self._log.belief(
+            "endpoint.told_of",
+            endpoint=update.endpoint,
+            pool=record.entry.pool,
+            leaves=update.draining,
+            rest_s=round(backoff_s, 3),
+        )
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -1,34 +1,34 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one endpoint's words do, in whatever order they come, and what ends them."""
+"""Effect of an endpoint's feedback on its availability, whatever the order, and what ends it."""
 
 from itertools import permutations
 
 import msgspec
 import pytest
 
-from turnward.gateway.availability import Availability, Hold
+from turnward.gateway.availability import Availability, UnavailableReason
 from turnward.gateway.dialect import Dialect
-from turnward.gateway.endpoint_word import EndpointWord
+from turnward.gateway.endpoint_feedback import EndpointFeedback
 from turnward.gateway.outcomes import Reason
-from turnward.gateway.tests.test_choice import World, without
+from turnward.gateway.tests.test_choice import World, omit
 
 DIALECT = Dialect()
-LEAVING = [(DIALECT.leaving, b"1")]
-LEAVES = EndpointWord(leaves=True)
+LEAVING = [(DIALECT.draining, b"1")]
+DRAINING = EndpointFeedback(draining=True)
 
 
-def rest(seconds):
+def retry_after(seconds):
     return [(b"retry-after", b"%g" % seconds)]
 
 
 @pytest.fixture
 def world():
-    """Four endpoints that tell when they were born."""
+    """Return four endpoints whose entries name their start time."""
     return World(born_ms=1_000)
 
 
-def speak(world, name, status, headers):
-    """Have an endpoint begin an answer."""
+def respond(world, name, status, headers):
+    """Let an endpoint send a response head."""
     world.book.get(f"{name}@1000").pool.on_head(status, headers)
 
 
@@ -36,43 +36,49 @@
     return {choice.endpoint_id for choice in (world.choose() for _ in range(times)) if choice}
 
 
-def test_strongest_word_holds_in_whatever_order_words_come():
-    words = [
-        lambda one: one.heed(LEAVES, 0.0),
-        lambda one: one.heed(EndpointWord(rest_s=5.0), 0.0),
-        lambda one: one.succeeded(),
-        lambda one: one.take_entry(leaves=False),
+def test_strongest_reason_wins_in_any_order_of_feedback():
+    steps = [
+        lambda availability: availability.apply_feedback(DRAINING, 0.0),
+        lambda availability: availability.apply_feedback(EndpointFeedback(backoff_s=5.0), 0.0),
+        lambda availability: availability.succeeded(),
+        lambda availability: availability.apply_entry(draining=False),
     ]
-    for order in permutations(words):
+    for ordering in permutations(steps):
         availability = Availability()
-        for word in order:
-            word(availability)
-        assert availability.hold(1.0) is Hold.LEAVES
-        availability.note_gone(1.0)
-        assert availability.hold(2.0) is Hold.GONE
+        for apply in ordering:
+            apply(availability)
+        assert availability.unavailable_reason(1.0) is UnavailableReason.DRAINING
+        availability.mark_replaced(1.0)
+        assert availability.unavailable_reason(2.0) is UnavailableReason.REPLACED
 
 
-def test_shorter_wish_and_an_answer_do_not_shorten_a_rest():
+def test_shorter_retry_after_or_success_does_not_shorten_a_backoff():
     availability = Availability()
-    availability.heed(EndpointWord(rest_s=4.0), 0.0)
-    availability.heed(EndpointWord(rest_s=0.5), 1.0)
+    availability.apply_feedback(EndpointFeedback(backoff_s=4.0), 0.0)
+    availability.apply_feedback(EndpointFeedback(backoff_s=0.5), 1.0)
     availability.succeeded()
-    assert availability.hold(3.9) is Hold.RESTS
-    assert availability.hold(4.0) is None
+    assert availability.unavailable_reason(3.9) is UnavailableReason.BACKOFF
+    assert availability.unavailable_reason(4.0) is None
 
 
-def test_word_is_news_once():
+def test_repeated_feedback_is_reported_once():
     availability = Availability()
-    assert availability.heed(EndpointWord(rest_s=3.0), 0.0) is Hold.RESTS
-    assert availability.heed(EndpointWord(rest_s=3.0), 0.2) is None
-    assert availability.heed(EndpointWord(rest_s=3.0), 1.0) is Hold.RESTS
-    assert availability.heed(LEAVES, 1.0) is Hold.LEAVES
-    assert availability.heed(LEAVES, 2.0) is None
+    assert (
+        availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 0.0)
+        is UnavailableReason.BACKOFF
+    )
+    assert availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 0.2) is None
+    assert (
+        availability.apply_feedback(EndpointFeedback(backoff_s=3.0), 1.0)
+        is UnavailableReason.BACKOFF
+    )
+    assert availability.apply_feedback(DRAINING, 1.0) is UnavailableReason.DRAINING
+    assert availability.apply_feedback(DRAINING, 2.0) is None
 
 
 @pytest.mark.parametrize("status", [100, 200, 429, 500, 503])
-def test_leaving_is_believed_in_any_answer_and_outlasts_every_entry(world, status):
-    speak(world, "e-0", status, LEAVING)
+def test_draining_in_any_response_outlasts_changed_entries(world, status):
+    respond(world, "e-0", status, LEAVING)
     assert chosen(world) == {"e-1", "e-2", "e-3"}
     changed = msgspec.structs.replace(world.entries["e-0"], cold_left_s=1.0)
     world.book.set_entries({**world.entries, "e-0": changed})
@@ -80,17 +86,17 @@
     assert "e-0" not in chosen(world)
 
 
-def test_leaving_outlasts_an_entry_that_lapses_with_the_store_and_comes_back(world):
-    speak(world, "e-0", 200, LEAVING)
-    without(world, 0)
+def test_draining_outlasts_an_entry_that_expires_and_returns(world):
+    respond(world, "e-0", 200, LEAVING)
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
 
 
-def test_rest_outlasts_an_entry_that_lapses_with_the_store_and_comes_back(world):
-    speak(world, "e-0", 503, rest(5.0))
-    without(world, 0)
+def test_backoff_outlasts_an_entry_that_expires_and_returns(world):
+    respond(world, "e-0", 503, retry_after(5.0))
+    omit(world, 0)
     world.now_s += 2.0
     world.book.set_entries(world.entries)
     assert "e-0" not in chosen(world)
@@ -98,64 +104,64 @@
     assert "e-0" in chosen(world)
 
 
-def test_next_start_under_the_id_takes_work(world):
+def test_restarted_endpoint_takes_requests(world):
     old = world.book.get("e-0@1000").pool
-    speak(world, "e-0", 503, [*LEAVING, *rest(60.0)])
+    respond(world, "e-0", 503, [*LEAVING, *retry_after(60.0)])
     entries = {**world.entries, "e-0": msgspec.structs.replace(world.entries["e-0"], born_ms=2_000)}
     world.book.set_entries(entries)
     assert "e-0" in chosen(world)
-    # A word of the earlier process that comes late is its own.
+    # Late feedback of the earlier process does not apply to the new one.
     old.on_head(200, LEAVING)
     assert "e-0" in chosen(world)
 
 
-def test_next_endpoint_at_an_address_takes_work(world):
-    speak(world, "e-0", 200, LEAVING)
+def test_new_endpoint_at_a_draining_address_takes_requests(world):
+    respond(world, "e-0", 200, LEAVING)
     newcomer = msgspec.structs.replace(world.entries["e-0"], endpoint_id="e-9", born_ms=2_000)
     world.book.set_entries({**world.entries, "e-9": newcomer})
     assert "e-9" in chosen(world)
     assert "e-0" not in chosen(world)
 
 
-def test_what_another_process_at_the_address_says_is_not_the_endpoints_word(world):
-    speak(world, "e-0", 421, [*LEAVING, *rest(60.0)])
+def test_feedback_of_another_process_at_the_address_is_ignored(world):
+    respond(world, "e-0", 421, [*LEAVING, *retry_after(60.0)])
     assert chosen(world) == {"e-0", "e-1", "e-2", "e-3"}
 
 
-def test_gone_ends_with_a_changed_entry(world):
-    world.book.get("e-0@1000").availability.note_gone(world.now_s)
+def test_replaced_ends_with_a_changed_entry(world):
+    world.book.get("e-0@1000").availability.mark_replaced(world.now_s)
     assert "e-0" not in chosen(world)
     changed = msgspec.structs.replace(world.entries["e-0"], slots=9)
     world.book.set_entries({**world.entries, "e-0": changed})
     assert "e-0" in chosen(world)
 
 
-def test_endpoint_that_rests_is_no_last_resort_and_the_pool_tells_when_it_opens(world):
+def test_endpoint_in_backoff_is_never_chosen_and_the_pool_reports_when_it_ends(world):
     for number, seconds in enumerate((3.0, 2.0, 5.0, 4.0)):
-        speak(world, f"e-{number}", 503, rest(seconds))
+        respond(world, f"e-{number}", 503, retry_after(seconds))
     assert world.choose() is None
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
-    assert shortage.reason is Reason.ENDPOINTS_RESTING
+    assert shortage.reason is Reason.ENDPOINTS_BACKING_OFF
     assert 2.0 <= shortage.opens_in_s <= 2.0 * 1.25
     world.now_s += 2.0 * 1.25
     assert chosen(world) == {"e-1"}
     assert world.book.shortage("pool") is None
 
 
-def test_pool_whose_endpoints_all_leave_has_no_endpoint(world):
+def test_pool_of_draining_endpoints_has_no_endpoint(world):
     for number in range(4):
-        speak(world, f"e-{number}", 200, LEAVING)
+        respond(world, f"e-{number}", 200, LEAVING)
     assert world.choose() is None
     assert world.book.shortage("pool").reason is Reason.NO_ENDPOINT
 
 
-def test_routers_come_back_from_a_rest_one_after_the_other():
+def test_backoff_ends_at_different_times_per_router():
     ends = set()
     for seed in range(20):
         world = World(seed=seed, born_ms=1_000)
-        speak(world, "e-0", 503, rest(4.0))
-        ends.add(round(world.book.get("e-0@1000").availability.rests_for_s(0.0), 1))
+        respond(world, "e-0", 503, retry_after(4.0))
+        ends.add(round(world.book.get("e-0@1000").availability.backoff_left_s(0.0), 1))
     assert min(ends) >= 4.0
     assert max(ends) <= 5.0
     assert len(ends) >= 6
--- a/turnward/gateway/tests/test_feeds.py
+++ b/turnward/gateway/tests/test_feeds.py
@@ -1,42 +1,42 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What a feed asks the store after an outage, and what it is spared by others' word."""
+"""Requests of a feed after an outage, and while peers confirm its version."""
 
 import random
 
 import pytest
 from twisted.internet import task
 
-from turnward.gateway.feeds import FeedListenerBase, TableFeed, ToldPace
+from turnward.gateway.feeds import FeedListenerBase, PeerConfirmedPollSchedule, TableFeed
 from turnward.gateway.state import FleetState
 from turnward.rows import RowsUnavailableError, TableChanges
 
 STEP_S = 0.05
-WAIT_S = 1.0
+HOLD_S = 1.0
 
 
 class Listener(FeedListenerBase):
-    """Knows a version."""
+    """Listener that records the latest version."""
 
-    known = 0
+    known_version = 0
 
     @property
     def version(self):
-        return self.known
+        return self.known_version
 
     def table_read(self, table):
-        self.known = table.version
+        self.known_version = table.version
 
     rows_changed = table_read
 
 
 class Store:
-    """Notes what it is asked; answers after a moment, or fails while it is away."""
+    """Records requests; responds after a delay, or fails while it is unavailable."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.asked = []
+        self.requests = []
         self.answered = []
-        self.away = False
+        self.unavailable = False
         self.version = 5
 
     async def read_table(self, table):
@@ -45,25 +45,25 @@
     async def changes(self, table, after_version, wait_s):
         return await self._answer(after_version)
 
-    async def _answer(self, what):
-        self.asked.append(what)
+    async def _answer(self, request):
+        self.requests.append(request)
         await task.deferLater(self.clock, STEP_S)
-        if self.away:
-            raise RowsUnavailableError("away")
-        self.answered.append(what)
+        if self.unavailable:
+            raise RowsUnavailableError("store unavailable")
+        self.answered.append(request)
         return TableChanges((), self.version)
 
 
 class Overlay:
-    """One router's place in the exchange."""
+    """Role of the router in the overlay."""
 
     mesh = False
-    tells_others = False
-    is_told = True
+    publishes_updates = False
+    receives_updates = True
 
 
-class Rig:
-    """A feed on a fake clock."""
+class Harness:
+    """Runs a feed on a fake clock."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -76,10 +76,10 @@
             self.store,
             "table",
             self.listener,
-            WAIT_S,
+            HOLD_S,
             random.Random(1),
             lambda *_: None,
-            pace=ToldPace(self.overlay, 0.0, self.state),
+            poll_schedule=PeerConfirmedPollSchedule(self.overlay, 0.0, self.state),
         )
 
     def start(self):
@@ -87,76 +87,76 @@
         self.run(1.0)
         return self
 
-    def confirmed_by_others(self):
-        """Let others confirm what is known; the question under way comes to its end."""
+    def after_confirmation(self):
+        """Let peers confirm the known version, and let the current poll end."""
         self.state.confirm()
         self.run(0.3)
-        self.store.asked.clear()
+        self.store.requests.clear()
         return self
 
-    def run(self, for_s):
-        for _ in range(round(for_s / STEP_S)):
+    def run(self, duration_s):
+        for _ in range(round(duration_s / STEP_S)):
             self.clock.advance(STEP_S)
 
 
 @pytest.mark.parametrize(
-    ("away_s", "tells_others", "question"),
+    ("outage_s", "publishes_updates", "first_request"),
     [(2.0, True, 5), (8.0, True, "table"), (8.0, False, 5)],
 )
-def test_after_a_long_outage_those_that_tell_others_read_the_table_anew(
-    away_s, tells_others, question
+def test_publishing_routers_reread_the_table_after_a_long_outage(
+    outage_s, publishes_updates, first_request
 ):
-    """It is 0.6 MB even if nothing changed: 603 KB at each of 40 routers, now at six of them."""
-    rig = Rig().start()
-    rig.overlay.tells_others = tells_others
-    rig.store.away = True
-    rig.run(away_s)
-    rig.store.answered.clear()
-    rig.store.away = False
-    rig.run(2.0)
-    assert rig.store.answered[0] == question
-
-
-def test_after_a_long_outage_a_feed_goes_on_from_what_others_told():
-    rig = Rig().start()
-    rig.overlay.tells_others = True
-    rig.store.away = True
-    rig.run(8.0)
-    rig.listener.known = 9
-    rig.store.version = 9
-    rig.run(2.0)
-    rig.store.answered.clear()
-    rig.store.away = False
-    rig.run(2.0)
-    assert set(rig.store.answered) == {9}
-
-
-def test_a_feed_asks_nothing_while_others_confirm_what_is_known():
-    rig = Rig().start().confirmed_by_others()
+    """The table is large; routers that publish no updates fetch copies from peers instead."""
+    harness = Harness().start()
+    harness.overlay.publishes_updates = publishes_updates
+    harness.store.unavailable = True
+    harness.run(outage_s)
+    harness.store.answered.clear()
+    harness.store.unavailable = False
+    harness.run(2.0)
+    assert harness.store.answered[0] == first_request
+
+
+def test_feed_resumes_from_the_version_of_its_peers_after_a_long_outage():
+    harness = Harness().start()
+    harness.overlay.publishes_updates = True
+    harness.store.unavailable = True
+    harness.run(8.0)
+    harness.listener.known_version = 9
+    harness.store.version = 9
+    harness.run(2.0)
+    harness.store.answered.clear()
+    harness.store.unavailable = False
+    harness.run(2.0)
+    assert set(harness.store.answered) == {9}
+
+
+def test_feed_does_not_poll_while_peers_confirm_its_version():
+    harness = Harness().start().after_confirmation()
     for _ in range(20):
-        rig.state.confirm()
-        rig.run(0.5)
-    assert not rig.store.asked
-    rig.run(3.0)
-    assert rig.store.asked
+        harness.state.confirm()
+        harness.run(0.5)
+    assert not harness.store.requests
+    harness.run(3.0)
+    assert harness.store.requests
 
 
-def test_a_feed_asks_when_its_router_becomes_one_that_others_learn_from():
-    rig = Rig().start().confirmed_by_others()
-    rig.overlay.tells_others = True
-    rig.run(0.5)
-    assert rig.store.asked
+def test_feed_polls_when_its_router_becomes_a_publisher():
+    harness = Harness().start().after_confirmation()
+    harness.overlay.publishes_updates = True
+    harness.run(0.5)
+    assert harness.store.requests
 
 
-def test_a_feed_asks_when_nobody_tells_its_router_anything():
-    rig = Rig().start().confirmed_by_others()
-    rig.overlay.is_told = False
-    rig.run(0.5)
-    assert rig.store.asked
+def test_feed_polls_when_its_router_receives_no_updates():
+    harness = Harness().start().after_confirmation()
+    harness.overlay.receives_updates = False
+    harness.run(0.5)
+    assert harness.store.requests
 
 
-def test_a_feed_stops_while_it_asks_nothing():
-    rig = Rig().start().confirmed_by_others()
-    rig.feed.stop()
-    rig.run(5.0)
-    assert not rig.store.asked
+def test_feed_can_be_stopped_while_it_does_not_poll():
+    harness = Harness().start().after_confirmation()
+    harness.feed.stop()
+    harness.run(5.0)
+    assert not harness.store.requests
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""No schedule of a holder, a borrower and their successors spends more than is prepaid.
+"""No schedule of a holder, a borrower and their successors spends more than the prepaid tokens.
 
-The schedules of ``test_prepaid`` with one router that holds none: what it asks for and
-hands back travels by messages that arrive, get lost, or whose answers get lost.
+Runs the schedules of ``test_prepaid`` with one router that holds no tokens. It borrows and returns
+tokens by messages that are delivered, are lost, or whose responses are lost.
 """
 
 import itertools
@@ -11,77 +11,77 @@
 import pytest
 from twisted.internet import defer
 
-from turnward.gateway.holder_client import HandBack, HolderClient
+from turnward.gateway.holder_client import HolderClient, ReturnOutcome
 from turnward.gateway.holders import EveryRouterHolds
 from turnward.gateway.loans import LOANS_PATH, LoanAsk, LoanReturn
-from turnward.gateway.prepaid import BudgetAnswer, PrepaidAccounts
+from turnward.gateway.prepaid import BudgetRefusal, PrepaidAccounts
 from turnward.gateway.tests.test_prepaid import (
     ACTIONS,
     LIMIT,
-    MORE_ACTIONS,
-    World,
+    RANDOM_ACTIONS,
+    PrepaidSimulation,
     is_caught,
-    play,
     random_schedule,
+    run_schedule,
 )
 from turnward.http1 import NotSentError, UnansweredError
 from turnward.ledger import Reservation
 
 
 class OneHolder(EveryRouterHolds):
-    """The other router holds the tokens."""
+    """Holders from the view of a router whose peer holds all tokens."""
 
     def holds(self, workspace):
         return False
 
-    def others(self, workspace):
+    def other_holders(self, workspace):
         return ["holder", "holder again"]
 
 
 class SteppedCalls:
-    """Calls to the holder wait until the schedule decides."""
+    """Calls to the holder, which complete when the schedule decides their outcome."""
 
-    def __init__(self, world, index):
-        self.world = world
+    def __init__(self, simulation, index):
+        self.simulation = simulation
         self.index = index
         self.pending = []
 
     async def call(self, address, path, body, timeout_s):
-        decided = defer.Deferred()
-        self.pending.append((path, body, decided))
-        return await decided
+        result = defer.Deferred()
+        self.pending.append((path, body, result))
+        return await result
 
     def decide(self, outcome):
-        """Let the oldest call end: ``done``, ``lost`` (done, never heard of) or ``refused``."""
+        """Complete the oldest call: ``done``, ``lost`` (done, but no response) or ``refused``."""
         if not self.pending:
             return
-        path, body, decided = self.pending.pop(0)
+        path, body, result = self.pending.pop(0)
         if outcome == "refused":
-            decided.errback(NotSentError("refused"))
+            result.errback(NotSentError("refused"))
             return
-        answered = decided if outcome == "done" else defer.Deferred()
-        self.arrive(path, body, answered)
+        response = result if outcome == "done" else defer.Deferred()
+        self.deliver(path, body, response)
         if outcome == "lost":
-            decided.errback(UnansweredError("lost"))
+            result.errback(UnansweredError("lost"))
 
-    def arrive(self, path, body, answered):
-        holder = self.world.routers[1 - self.index]
+    def deliver(self, path, body, response):
+        holder = self.simulation.routers[1 - self.index]
         if path == LOANS_PATH:
-            lending = holder.lend_to_request(msgspec.msgpack.decode(body, type=LoanAsk))
-            lending.addCallback(lambda loan: answered.callback(msgspec.msgpack.encode(loan)))
+            lending = holder.lend_for_request(msgspec.msgpack.decode(body, type=LoanAsk))
+            lending.addCallback(lambda loan: response.callback(msgspec.msgpack.encode(loan)))
         else:
-            holder.take_back(msgspec.msgpack.decode(body, type=LoanReturn))
-            answered.callback(b"")
+            holder.accept_return(msgspec.msgpack.decode(body, type=LoanReturn))
+            response.callback(b"")
 
 
-class HolderWorld(World):
-    """Router 0 holds tokens; router 1 asks it for each request."""
+class HolderSimulation(PrepaidSimulation):
+    """Router 0 holds tokens; router 1 borrows from it for each request."""
 
     client_type = HolderClient
 
     def start(self, index):
         self.calls = getattr(self, "calls", [None, None])
-        old = self.calls[index]
+        previous = self.calls[index]
         super().start(index)
         router = self.routers[index]
         self.calls[index] = SteppedCalls(self, index)
@@ -90,10 +90,10 @@
             router.holder_client = self.client_type(
                 router._holders, self.calls[index].call, router._log
             )
-            if old is not None:
-                # What the dead one had asked for may still arrive.
-                for path, body, _ in old.pending:
-                    self.calls[index].arrive(path, body, defer.Deferred())
+            if previous is not None:
+                # Calls of the crashed router may still be delivered.
+                for path, body, _ in previous.pending:
+                    self.calls[index].deliver(path, body, defer.Deferred())
 
     def step(self, action):
         if action[0] == "call":
@@ -103,7 +103,7 @@
         super().step(action)
 
     def spend(self, index, tokens):
-        # Half of it is used: the rest is handed back.
+        # Half of the tokens are used; the remainder is returned.
         answer = self.routers[index].reserve("acme", tokens, 0, 2)
         self._spend_when_answered(index, answer)
 
@@ -118,65 +118,65 @@
 
 
 class LendsWithoutCounting(PrepaidAccounts):
-    """Broken: lets a request have tokens that stay free at the holder."""
+    """Broken: lent tokens stay free at the lender."""
 
-    def _loan_of(self, ask, answer):
-        loan = super()._loan_of(ask, answer)
+    def _loan_from(self, request, answer):
+        loan = super()._loan_from(request, answer)
         if loan.tokens:
-            self.ledger.unsettle(ask.workspace, loan.tokens)
+            self.ledger.unsettle(request.workspace, loan.tokens)
         return loan
 
 
-class HandsBackWhatItKeeps(PrepaidAccounts):
-    """Broken: tokens that are handed back stay free at the sender."""
+class ReturnsTokensItKeeps(PrepaidAccounts):
+    """Broken: returned tokens stay free at the sender."""
 
-    async def _send_back(self, workspace):
+    async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
         if tokens:
-            await self.holder_client.hand_back(workspace, tokens)
+            await self.holder_client.return_tokens(workspace, tokens)
 
 
-class TakesLostTokensBack(PrepaidAccounts):
-    """Broken: takes a message whose answer is lost for one that was not read."""
+class ReclaimsLostTokens(PrepaidAccounts):
+    """Broken: treats a message whose response was lost as not delivered."""
 
-    async def _send_back(self, workspace):
+    async def _return_free_tokens(self, workspace):
         tokens = self._spendable_tokens(workspace)
         reservation = self._try_reserve(workspace, tokens, first_try=False) if tokens else None
         if reservation is None:
             return
         self.ledger.settle(reservation, tokens)
-        if await self.holder_client.hand_back(workspace, tokens) is not HandBack.TAKEN:
+        if await self.holder_client.return_tokens(workspace, tokens) is not ReturnOutcome.ACCEPTED:
             self.ledger.unsettle(workspace, tokens)
 
 
-class LendsToWhoeverHasGone(PrepaidAccounts):
-    """Broken: lends what it has neither granted nor reported."""
+class LendsUngrantedTokens(PrepaidAccounts):
+    """Broken: lends tokens that were neither granted nor reported."""
 
-    def _reserve_here(self, workspace, tokens, priority):
+    def _reserve_locally(self, workspace, tokens, priority):
         self.ledger.add(workspace, tokens)
-        return super()._reserve_here(workspace, tokens, priority)
+        return super()._reserve_locally(workspace, tokens, priority)
 
 
-class HandsBackTwice(HolderClient):
-    """Broken: sends tokens to the next holder when the first does not answer."""
+class ReturnsTokensTwice(HolderClient):
+    """Broken: sends the same tokens again when the holder does not respond."""
 
-    async def hand_back(self, workspace, tokens):
-        became = await super().hand_back(workspace, tokens)
-        if became is HandBack.LOST:
-            became = await super().hand_back(workspace, tokens)
-        return became
+    async def return_tokens(self, workspace, tokens):
+        outcome = await super().return_tokens(workspace, tokens)
+        if outcome is ReturnOutcome.LOST:
+            outcome = await super().return_tokens(workspace, tokens)
+        return outcome
 
 
 class CountsReturnsAsOwn(PrepaidAccounts):
-    """Broken: its reports leave out what came back, so that it seems unspent to a successor."""
+    """Broken: reports omit returned tokens, so that a successor takes them for unspent."""
 
-    def take_back(self, returned):
-        super().take_back(returned)
+    def accept_return(self, returned):
+        super().accept_return(returned)
         self._account(returned.workspace).borrowed_tokens += returned.tokens
 
 
 SCHEDULE_ACTIONS = [
-    *MORE_ACTIONS,
+    *RANDOM_ACTIONS,
     *CALLS,
     *CALLS,
     ("call", "done"),
@@ -185,22 +185,22 @@
 ]
 
 
-def play_seed(seed, accounts_type=PrepaidAccounts, client_type=HolderClient):
-    world_type = type("World", (HolderWorld,), {"client_type": client_type})
-    return play(random_schedule(seed, SCHEDULE_ACTIONS), accounts_type, world_type)
+def run_seed(seed, accounts_type=PrepaidAccounts, client_type=HolderClient):
+    simulation_type = type("Simulation", (HolderSimulation,), {"client_type": client_type})
+    return run_schedule(random_schedule(seed, SCHEDULE_ACTIONS), accounts_type, simulation_type)
 
 
 def test_every_short_schedule_keeps_the_limit():
     actions = [*(action for action in ACTIONS if action[0] != "loan"), *CALLS]
     prefix = [("calm", 0, 0.5), ("spend", 0, 6), ("spend", 1, 6)]
     for schedule in itertools.product(actions, repeat=3):
-        play(prefix + list(schedule), world_type=HolderWorld)
+        run_schedule(prefix + list(schedule), simulation_type=HolderSimulation)
 
 
 def test_random_schedules_keep_the_limit():
     spent = 0
     for seed in range(300):
-        spent += play_seed(seed).spent
+        spent += run_seed(seed).spent
     assert spent > 300 * LIMIT / 8
 
 
@@ -208,37 +208,37 @@
     "broken",
     [
         LendsWithoutCounting,
-        HandsBackWhatItKeeps,
-        TakesLostTokensBack,
-        LendsToWhoeverHasGone,
-        HandsBackTwice,
+        ReturnsTokensItKeeps,
+        ReclaimsLostTokens,
+        LendsUngrantedTokens,
+        ReturnsTokensTwice,
         CountsReturnsAsOwn,
     ],
 )
 def test_random_schedules_catch_a_broken_variant(broken):
     is_client = issubclass(broken, HolderClient)
     variant = {"client_type": broken} if is_client else {"accounts_type": broken}
-    assert is_caught(lambda seed: play_seed(seed, **variant), seeds=2_000)
+    assert is_caught(lambda seed: run_seed(seed, **variant), seeds=2_000)
 
 
-def test_request_without_a_holder_that_answers_waits_for_the_store():
-    world = HolderWorld()
-    world.calm(1.0)
+def test_request_waits_for_the_store_when_no_holder_answers():
+    simulation = HolderSimulation()
+    simulation.answer_all_calls(1.0)
     answers = []
-    world.routers[1].reserve("acme", 6).addCallback(answers.append)
-    while world.calls[1].pending:
-        world.calls[1].decide("refused")
+    simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
+    while simulation.calls[1].pending:
+        simulation.calls[1].decide("refused")
     assert answers == []
-    world.calm(0.5)
+    simulation.answer_all_calls(0.5)
     assert isinstance(answers[0], Reservation)
 
 
-def test_holder_that_knows_the_tokens_are_used_up_says_so():
-    world = HolderWorld()
-    world.calm(1.0)
+def test_holder_reports_an_exhausted_budget():
+    simulation = HolderSimulation()
+    simulation.answer_all_calls(1.0)
     answers = []
-    world.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
-    while world.calls[1].pending:
-        world.calls[1].decide("done")
-    world.calm(0.5)
-    assert answers == [BudgetAnswer.EXHAUSTED]
+    simulation.routers[1].reserve("acme", LIMIT + 1).addCallback(answers.append)
+    while simulation.calls[1].pending:
+        simulation.calls[1].decide("done")
+    simulation.answer_all_calls(0.5)
+    assert answers == [BudgetRefusal.EXHAUSTED]
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -1,39 +1,46 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""In a large fleet a few routers hold a workspace's tokens, and all others ask them."""
+"""In a large fleet a few routers hold a workspace's tokens, and all others borrow from them."""
 
 import msgspec
 import pytest
 from twisted.internet import task
 
-from turnward.gateway import Repeat, Workspace
+from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.accounts import decode_account
-from turnward.gateway.holders import HOLDERS, RankedHolders
+from turnward.gateway.holders import HOLDERS_PER_WORKSPACE, RendezvousHolders
 from turnward.gateway.loans import RETURNS_PATH, LoanAsk, LoanReturn
 from turnward.gateway.peer_book import PeerBook
 from turnward.gateway.prepaid import ROW_NAME, TABLE
 from turnward.gateway.spending import TABLE as REPORTS_TABLE
-from turnward.gateway.tests.rig import ENGINE_POOL, KEY, PEERS_PORT, Rig, answered, stream
+from turnward.gateway.tests.harness import (
+    ENGINE_POOL,
+    KEY,
+    PEERS_PORT,
+    Harness,
+    answered,
+    stream_events,
+)
 from turnward.rows import RowKey
 
-KEY_OF_ROW = RowKey(TABLE, "acme", ROW_NAME)
+ROW_KEY = RowKey(TABLE, "acme", ROW_NAME)
 
 
 def fleet_of(size, limit=8):
-    """Return the rankings of each router of a fleet."""
+    """Return the holders as seen by each router of a fleet, by the router's address."""
     clock = task.Clock()
     addresses = [f"10.0.{number // 200}.{number % 200}:80" for number in range(size)]
-    found = {}
+    fleet = {}
     for own in addresses:
         book = PeerBook(own, clock.seconds)
         for number, address in enumerate(addresses):
             book.add_member(address, f"z{number % 3}")
         book.members_read = True
-        found[own] = RankedHolders(book, clock.seconds, limit)
+        fleet[own] = RendezvousHolders(book, clock.seconds, limit)
     clock.advance(1.0)
-    return found
+    return fleet
 
 
-@pytest.mark.parametrize("limit", [1, HOLDERS, 8])
+@pytest.mark.parametrize("limit", [1, HOLDERS_PER_WORKSPACE, 8])
 @pytest.mark.parametrize("size", [1, 7, 8, 9, 86])
 def test_all_routers_agree_on_a_few_holders(size, limit):
     fleet = fleet_of(size, limit)
@@ -41,7 +48,7 @@
         holders = {own for own, ranking in fleet.items() if ranking.holds(workspace)}
         assert len(holders) == min(size, limit)
         for own, ranking in fleet.items():
-            assert set(ranking.others(workspace)) == holders - {own}
+            assert set(ranking.other_holders(workspace)) == holders - {own}
 
 
 def test_holders_are_spread_over_routers():
@@ -51,22 +58,22 @@
     for workspace in map(str, range(40)):
         for own, ranking in fleet.items():
             load[own] += ranking.holds(workspace)
-            first[ranking.others(workspace)[0]] += 1
+            first[ranking.other_holders(workspace)[0]] += 1
     assert max(load.values()) <= 12
     assert max(first.values()) <= 6 * 40
 
 
-def test_holder_that_does_not_answer_rests_for_a_while():
+def test_unresponsive_holder_is_skipped_for_a_while():
     ranking = next(iter(fleet_of(30).values()))
-    silent, *rest = ranking.others("a")
-    ranking.note_silent(silent)
-    assert set(ranking.others("a")) == set(rest)
+    unresponsive, *rest = ranking.other_holders("a")
+    ranking.mark_unresponsive(unresponsive)
+    assert set(ranking.other_holders("a")) == set(rest)
 
 
-def test_nothing_is_taken_ahead_before_the_members_are_known():
+def test_membership_is_settled_only_after_members_are_read():
     clock = task.Clock()
     book = PeerBook("10.0.0.1:80", clock.seconds)
-    holders = RankedHolders(book, clock.seconds)
+    holders = RendezvousHolders(book, clock.seconds)
     clock.advance(5.0)
     assert not holders.settled
     book.members_read = True
@@ -77,205 +84,211 @@
     assert holders.settled
 
 
-def test_tokens_stay_where_they_are_while_members_are_being_added():
-    rig = large_rig()
-    holders = [number for number, holder in enumerate(holds(rig)) if holder]
-    held = [rig.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
+def test_tokens_do_not_move_while_members_are_added():
+    harness = large_harness()
+    holders = [number for number, is_holder in enumerate(holds(harness)) if is_holder]
+    held = [harness.gateways[number].accounts.ledger.free_tokens("acme") for number in holders]
     assert min(held) > 0
     for number in range(12):
-        # One more each 0.2 s: what is known of the members is never settled.
-        for gateway in rig.gateways:
+        # With a new member every 0.2 s the membership is never settled.
+        for gateway in harness.gateways:
             gateway.book.add_member(f"10.8.0.{number}:{PEERS_PORT}", "z")
-        rig.network.advance(0.2)
-    moved = sum(len(log.of("prepaid.returned")) for log in rig.logs)
-    committed = sum(g.accounts.ledger.committed_tokens("acme") for g in rig.gateways)
+        harness.network.advance(0.2)
+    moved = sum(len(log.of("prepaid.returned")) for log in harness.logs)
+    committed = sum(g.accounts.ledger.committed_tokens("acme") for g in harness.gateways)
     assert (moved, committed) == (0, 0)
 
 
-# The same through whole gateways.
+# Tests with whole gateways.
 
 
-def large_rig(gateways=12, prepaid=400_000):
+def large_harness(gateways=12, prepaid=400_000):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=prepaid)
-    fields = {"repeat": Repeat.STREAM, "time_limit_s": 9.0, "priority": 0}
-    rig = Rig(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
-    rig.endpoint(stream(4))
-    rig.ready(gateways=gateways)
-    rig.network.advance(3.0)
-    return rig
+    fields = {"repeat": RetryPolicy.STREAM, "time_limit_s": 9.0, "priority": 0}
+    harness = Harness(pools=(ENGINE_POOL,), workspaces=(workspace,), **fields)
+    harness.endpoint(stream_events(4))
+    harness.ready(gateways=gateways)
+    harness.network.advance(3.0)
+    return harness
 
 
-def holds(rig):
-    return [gateway.holders.holds("acme") for gateway in rig.gateways]
+def holds(harness):
+    return [gateway.holders.holds("acme") for gateway in harness.gateways]
 
 
-def ask(rig, gateway, tokens=8_000):
-    return rig.ask(gateway, method=b"POST", body=b"", headers=rig.prompt(tokens, 20))
+def send_prompt(harness, gateway, tokens=8_000):
+    return harness.ask(gateway, method=b"POST", body=b"", headers=harness.prompt(tokens, 20))
 
 
 def test_only_holders_have_grants_and_write_reports():
-    rig = large_rig()
-    assert sum(holds(rig)) == HOLDERS
-    names = {
+    harness = large_harness()
+    assert sum(holds(harness)) == HOLDERS_PER_WORKSPACE
+    incarnations = {
         gateway.incarnation
-        for gateway, holder in zip(rig.gateways, holds(rig), strict=True)
-        if holder
+        for gateway, is_holder in zip(harness.gateways, holds(harness), strict=True)
+        if is_holder
     }
-    assert set(decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens) == names
+    assert set(decode_account(harness.rows.get(ROW_KEY)).granted_tokens) == incarnations
     written = {
         row.key.key
-        for gateway in rig.gateways
-        for row in rig.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
+        for gateway in harness.gateways
+        for row in harness.rows.table(REPORTS_TABLE, gateway.incarnation.partition("@")[0])
     }
-    assert written == names
+    assert written == incarnations
 
 
-def test_router_that_holds_none_serves_out_of_a_holder_and_hands_the_rest_back():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    assert [ask(rig, other).status for _ in range(5)] == [200] * 5
-    rig.network.advance(2.0)
-    accounts = rig.gateways[other].accounts
+def test_non_holder_borrows_from_a_holder_and_returns_the_remainder():
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    assert [send_prompt(harness, borrower).status for _ in range(5)] == [200] * 5
+    harness.network.advance(2.0)
+    accounts = harness.gateways[borrower].accounts
     assert accounts.ledger.free_tokens("acme") == 0
     assert (
-        rig.gateways[other].incarnation
-        not in decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+        harness.gateways[borrower].incarnation
+        not in decode_account(harness.rows.get(ROW_KEY)).granted_tokens
     )
     used = 5 * (8_000 + 4 * 5)
-    own = [gateway.accounts._own_committed("acme") for gateway in rig.gateways]
-    borrowed = sum(gateway.accounts._account("acme").borrowed_tokens for gateway in rig.gateways)
-    assert sum(gateway.accounts.ledger.committed_tokens("acme") for gateway in rig.gateways) == (
-        used + borrowed
+    own = [gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways]
+    borrowed = sum(
+        gateway.accounts._account("acme").borrowed_tokens for gateway in harness.gateways
     )
+    assert sum(
+        gateway.accounts.ledger.committed_tokens("acme") for gateway in harness.gateways
+    ) == (used + borrowed)
     assert sum(own) == used
 
 
-def test_requests_at_the_same_time_do_not_count_on_the_same_tokens():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    first = rig.ask(other, method=b"POST", body=b"", headers=rig.prompt(1_000, 400))
+def test_concurrent_requests_do_not_use_the_same_tokens():
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    first = harness.ask(borrower, method=b"POST", body=b"", headers=harness.prompt(1_000, 400))
     assert first.status == 200
-    # What the first one left over is free here for a moment.
+    # The tokens that the first request left unused are free here for a moment.
     callers = [
-        rig.send(other, method=b"POST", body=b"", headers=rig.prompt(tokens, 400))
+        harness.send(borrower, method=b"POST", body=b"", headers=harness.prompt(tokens, 400))
         for tokens in (2_000, 3_000, 4_000, 5_000)
     ]
-    assert rig.network.advance_until(lambda: all(map(answered, callers)))
+    assert harness.network.advance_until(lambda: all(map(answered, callers)))
     assert [caller.status for caller in callers] == [200] * 4
-    assert not rig.logs[other].of("prepaid.taken")
+    assert not harness.logs[borrower].of("prepaid.taken")
 
 
-def test_holders_are_asked_in_turn():
-    rig = large_rig()
-    other = holds(rig).index(False)
+def test_holders_are_asked_round_robin():
+    harness = large_harness()
+    borrower = holds(harness).index(False)
     for _ in range(10):
-        ask(rig, other, tokens=500)
+        send_prompt(harness, borrower, tokens=500)
     lent = [
         len(log.of("prepaid.lent"))
-        for log, holder in zip(rig.logs, holds(rig), strict=True)
-        if holder
+        for log, is_holder in zip(harness.logs, holds(harness), strict=True)
+        if is_holder
     ]
     assert min(lent) >= 5
 
 
-def test_router_without_a_holder_takes_from_the_store():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    for number, holder in enumerate(holds(rig)):
-        if holder:
-            rig.machines[number].kill()
-    assert ask(rig, other).status == 200
-    assert decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens[rig.gateways[other].incarnation]
+def test_router_takes_tokens_from_the_store_when_all_holders_are_down():
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    for number, is_holder in enumerate(holds(harness)):
+        if is_holder:
+            harness.machines[number].kill()
+    assert send_prompt(harness, borrower).status == 200
+    assert decode_account(harness.rows.get(ROW_KEY)).granted_tokens[
+        harness.gateways[borrower].incarnation
+    ]
 
 
-def test_router_that_holds_none_learns_from_its_feeds_that_the_store_is_back():
-    rig = large_rig()
-    none = [
-        number for number, gateway in enumerate(rig.gateways) if not gateway.holders.holds("acme")
+def test_non_holder_detects_by_its_feeds_that_the_store_is_reachable_again():
+    harness = large_harness()
+    non_holders = [
+        number
+        for number, gateway in enumerate(harness.gateways)
+        if not gateway.holders.holds("acme")
     ]
-    for number, holder in enumerate(holds(rig)):
-        if holder:
-            rig.machines[number].kill()
-    for client in rig.clients:
-        client.faults.away = True
-    rig.network.advance(1.0)
-    assert ask(rig, none[0]).status == 503
-    for client in rig.clients:
-        client.faults.away = False
-    rig.network.advance(6.0)
-    assert ask(rig, none[0]).status == 200
-
-
-def test_routers_that_are_cut_off_from_the_store_are_served_by_holders():
-    rig = large_rig()
-    for client in rig.clients:
-        client.faults.away = True
-    rig.network.advance(6.0)
-    # Within what the holders' last reports let them spend at once.
-    served = [ask(rig, number, tokens=1_500).status for number in range(12)]
+    for number, is_holder in enumerate(holds(harness)):
+        if is_holder:
+            harness.machines[number].kill()
+    for client in harness.clients:
+        client.faults.unavailable = True
+    harness.network.advance(1.0)
+    assert send_prompt(harness, non_holders[0]).status == 503
+    for client in harness.clients:
+        client.faults.unavailable = False
+    harness.network.advance(6.0)
+    assert send_prompt(harness, non_holders[0]).status == 200
+
+
+def test_routers_cut_off_from_the_store_borrow_from_holders():
+    harness = large_harness()
+    for client in harness.clients:
+        client.faults.unavailable = True
+    harness.network.advance(6.0)
+    # Few enough tokens for the spend bounds in the holders' last reports.
+    served = [send_prompt(harness, number, tokens=1_500).status for number in range(12)]
     assert served == [200] * 12
 
 
 def test_exhausted_workspace_is_refused_at_every_router():
-    rig = large_rig(prepaid=1_000)
-    assert {ask(rig, number).status for number in range(12)} == {402}
+    harness = large_harness(prepaid=1_000)
+    assert {send_prompt(harness, number).status for number in range(12)} == {402}
 
 
-def test_request_whose_caller_leaves_while_a_holder_is_asked_costs_no_tokens():
-    rig = large_rig()
-    other = holds(rig).index(False)
-    caller = rig.send(other, method=b"POST", body=b"", headers=rig.prompt(8_000, 20))
+def test_request_cancelled_while_borrowing_costs_no_tokens():
+    harness = large_harness()
+    borrower = holds(harness).index(False)
+    caller = harness.send(borrower, method=b"POST", body=b"", headers=harness.prompt(8_000, 20))
     caller.transport.abortConnection()
-    rig.network.advance(3.0)
-    own = sum(gateway.accounts._own_committed("acme") for gateway in rig.gateways)
+    harness.network.advance(3.0)
+    own = sum(gateway.accounts._own_committed_tokens("acme") for gateway in harness.gateways)
     assert own <= 8_000 + 20
 
 
-def test_loan_of_a_borrower_that_has_gone_is_not_counted():
-    rig = large_rig()
-    holder = holds(rig).index(True)
-    accounts = rig.gateways[holder].accounts
+def test_cancelled_loan_is_not_counted():
+    harness = large_harness()
+    holder = holds(harness).index(True)
+    accounts = harness.gateways[holder].accounts
     before = accounts.ledger.committed_tokens("acme")
-    # More than is held, so that it has to wait for the store.
-    lending = accounts.lend_to_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
+    # More tokens than are held, so that the loan has to wait for the store.
+    lending = accounts.lend_for_request(LoanAsk("acme", 120_000, 120_000, for_request=True))
     lending.addErrback(lambda failure: None)
     lending.cancel()
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     assert accounts.ledger.committed_tokens("acme") == before
 
 
 @pytest.mark.parametrize("tokens", [0, -5])
-def test_returned_tokens_that_are_none_are_told_so(tokens):
-    rig = large_rig()
-    before = rig.gateways[0].accounts.ledger.free_tokens("acme")
+def test_return_of_a_non_positive_amount_is_rejected(tokens):
+    harness = large_harness()
+    before = harness.gateways[0].accounts.ledger.free_tokens("acme")
     body = msgspec.msgpack.encode(["acme", tokens])
-    caller = rig.connect(port=PEERS_PORT)
+    caller = harness.connect(port=PEERS_PORT)
     head = b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (RETURNS_PATH, len(body))
     caller.transport.write(head + body)
-    assert rig.network.advance_until(lambda: answered(caller))
+    assert harness.network.advance_until(lambda: answered(caller))
     assert caller.status == 400
-    assert rig.gateways[0].accounts.ledger.free_tokens("acme") == before
+    assert harness.gateways[0].accounts.ledger.free_tokens("acme") == before
 
 
-def test_tokens_handed_back_are_counted_once():
-    rig = large_rig()
-    accounts = rig.gateways[holds(rig).index(True)].accounts
-    before = accounts._own_committed("acme"), accounts.ledger.free_tokens("acme")
-    accounts.take_back(LoanReturn("acme", 500))
-    after = accounts._own_committed("acme"), accounts.ledger.free_tokens("acme")
+def test_returned_tokens_are_counted_once():
+    harness = large_harness()
+    accounts = harness.gateways[holds(harness).index(True)].accounts
+    before = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
+    accounts.accept_return(LoanReturn("acme", 500))
+    after = accounts._own_committed_tokens("acme"), accounts.ledger.free_tokens("acme")
     assert after == (before[0] - 500, before[1] + 500)
 
 
-def test_successor_of_a_holder_returns_what_it_held_though_it_needs_none():
-    rig = large_rig()
-    number = holds(rig).index(True)
-    gateway = rig.gateways[number]
+def test_successor_of_a_holder_returns_grants_it_does_not_need():
+    harness = large_harness()
+    number = holds(harness).index(True)
+    gateway = harness.gateways[number]
     assert gateway.accounts.ledger.free_tokens("acme") > 0
-    machine = rig.machines[number]
+    machine = harness.machines[number]
     machine.kill()
-    rig.network.advance(1.0)
+    harness.network.advance(1.0)
     machine.restart()
-    rig.run_gateway(machine, gateway.incarnation.partition("@")[0])
-    rig.network.advance(2.0)
-    granted = decode_account(rig.rows.get(KEY_OF_ROW)).granted_tokens
+    harness.run_gateway(machine, gateway.incarnation.partition("@")[0])
+    harness.network.advance(2.0)
+    granted = decode_account(harness.rows.get(ROW_KEY)).granted_tokens
     assert gateway.incarnation not in granted
--- a/turnward/ledger/__init__.py
+++ b/turnward/ledger/__init__.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A process's own account of the tokens it may spend: pure decisions."""
+"""Accounting of the tokens that one process may spend, without input or output."""
 
 from turnward.ledger.demand import DemandMeter
 from turnward.ledger.ledger import (
     BudgetView,
-    GrantAsk,
     GrantLedger,
+    GrantRequest,
     RefusalReason,
     Reservation,
     SizingRule,
@@ -14,7 +14,7 @@
 __all__ = [
     "BudgetView",
     "DemandMeter",
-    "GrantAsk",
+    "GrantRequest",
     "GrantLedger",
     "RefusalReason",
     "Reservation",
--- a/turnward/quarantine/__init__.py
+++ b/turnward/quarantine/__init__.py
@@ -1,23 +1,23 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Which requests end the endpoints that run them, and are held back: pure decisions."""
+"""Quarantine of requests that crash the endpoints that run them, without input or output."""
 
 from turnward.quarantine.messages import (
-    NO_WORD,
-    LostRun,
+    EMPTY_QUARANTINE_UPDATE,
+    AbortedRun,
+    CompletedRun,
     QuarantineChange,
-    QuarantineWord,
-    ServedRun,
+    QuarantineUpdate,
     Verdict,
 )
 from turnward.quarantine.quarantine import Quarantine, QuarantineRule
 
 __all__ = [
-    "NO_WORD",
-    "LostRun",
+    "EMPTY_QUARANTINE_UPDATE",
+    "AbortedRun",
+    "CompletedRun",
     "Quarantine",
     "QuarantineChange",
     "QuarantineRule",
-    "QuarantineWord",
-    "ServedRun",
+    "QuarantineUpdate",
     "Verdict",
 ]
--- a/turnward/replay/budgets.py
+++ b/turnward/replay/budgets.py
@@ -120,18 +120,20 @@
         self.store = GrantStore(self.table, name, rule.share)
 
     def take(self, now_s: float) -> None:
-        asks = self.ledger.plan_takes(now_s)
+        asks = self.ledger.plan_grants(now_s)
         if not asks:
             return
         views = run_now(self.store.read_views(list(asks)))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        for budget, tokens in run_now(self.store.apply(self.store.plan_take(asks, views))).items():
+        for budget, tokens in run_now(
+            self.store.apply(self.store.plan_acquire(asks, views))
+        ).items():
             self.ledger.add(budget, tokens)
-        self.ledger.clear_want(_BUDGET)
+        self.ledger.clear_wanted(_BUDGET)
 
     def look_again(self, now_s: float) -> None:
-        budgets = self.ledger.plan_views(now_s)
+        budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
             for budget, view in run_now(self.store.read_views(budgets)).items():
                 self.ledger.observe(budget, view, now_s)
@@ -181,7 +183,7 @@
             match chosen.ledger.reserve(_BUDGET, tokens, now_s, first_try):
                 case Result(tag="ok", ok=reservation):
                     chosen.ledger.settle(reservation, tokens)
-                    chosen.store.note_billed(_BUDGET, 0)
+                    chosen.store.record_billed_tokens(_BUDGET, 0)
                     return True
             try:
                 chosen.take(now_s)
--- a/turnward/router/bill_task.py
+++ b/turnward/router/bill_task.py
@@ -8,7 +8,7 @@
 from turnward.peers.messages import RecordState, RunRecord
 from turnward.router.task import TaskBase, Tick
 
-__all__ = ["AddBill", "BillTask", "FlushAll"]
+__all__ = ["AddBill", "BillTask", "FlushBills"]
 
 #: Seconds between looks at the waiting bills.
 TICK_S = 0.1
@@ -21,7 +21,7 @@
     record: RunRecord
 
 
-class FlushAll(msgspec.Struct, frozen=True, eq=False):
+class FlushBills(msgspec.Struct, frozen=True, eq=False):
     """Write everything; the answer is how many bills still wait."""
 
     answer: Deferred
@@ -55,7 +55,7 @@
         for message in messages:
             if isinstance(message, AddBill):
                 self._add(message)
-        flushes = [message for message in messages if isinstance(message, FlushAll)]
+        flushes = [message for message in messages if isinstance(message, FlushBills)]
         try:
             if flushes or (Tick() in messages and self._is_due()):
                 self._flushed_s = self._context.now_s()
@@ -86,14 +86,14 @@
         done = await self.writer.flush()
         for bill in done.written:
             self._note_written(bill)
-        for bill, standing in done.doubled:
+        for bill, standing in done.duplicates:
             self._note_doubled(bill, standing)
         for bill in done.orphaned:
             self._draw_anew(bill)
 
     def _note_written(self, bill: Bill) -> None:
         if bill.row.incarnation == self.writer.incarnation:
-            self._store.note_billed(bill.row.budget, bill.row.tokens)
+            self._store.record_billed_tokens(bill.row.budget, bill.row.tokens)
         self._context.metrics.count("bills.written")
         self._emit("bill.written", bill)
         self._release(bill)
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -8,21 +8,21 @@
 from turnward.router.task import TaskBase, Tick
 from turnward.store import PlatformError
 
-__all__ = ["GrantTask", "ReturnAll", "WantTokens"]
+__all__ = ["GrantTask", "ReturnTokens", "RequestTokens"]
 
 
 #: Seconds between looks at every held budget.
 TEND_S = 1.0
 
 
-class WantTokens(msgspec.Struct, frozen=True, eq=False):
+class RequestTokens(msgspec.Struct, frozen=True, eq=False):
     """A request waits for tokens; the answer is True when it is worth trying again."""
 
     budget: str
     answer: Deferred
 
 
-class ReturnAll(msgspec.Struct, frozen=True, eq=False):
+class ReturnTokens(msgspec.Struct, frozen=True, eq=False):
     """Give every free token back; the answer is how many are still held."""
 
     answer: Deferred
@@ -53,7 +53,7 @@
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
-        waiters = [message for message in messages if isinstance(message, WantTokens)]
+        waiters = [message for message in messages if isinstance(message, RequestTokens)]
         try:
             await self._resolve()
             await self._take()
@@ -64,20 +64,20 @@
         if Tick() in messages and self._context.now_s() - self._tended_s >= TEND_S:
             await self._tend()
         for message in messages:
-            if isinstance(message, ReturnAll):
+            if isinstance(message, ReturnTokens):
                 await self._return_all(message)
 
     async def _take(self) -> None:
         now_s = self._context.now_s()
-        asks = self.ledger.plan_takes(now_s)
+        asks = self.ledger.plan_grants(now_s)
         if not asks:
             return
         views = await self.store.read_views(list(asks))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        taken = await self.store.apply(self.store.plan_take(asks, views))
+        taken = await self.store.apply(self.store.plan_acquire(asks, views))
         for budget in asks:
-            self.ledger.clear_want(budget)
+            self.ledger.clear_wanted(budget)
         for budget, tokens in taken.items():
             if tokens:
                 self.ledger.add(budget, tokens)
@@ -90,11 +90,11 @@
         await self._look_again()
         await self._give_back(self.ledger.plan_returns(now_s))
         await self._fold()
-        self.ledger.forget_idle(now_s)
+        self.ledger.evict_idle(now_s)
 
     async def _look_again(self) -> None:
         now_s = self._context.now_s()
-        budgets = self.ledger.plan_views(now_s)
+        budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
             for budget, view in (await self.store.read_views(budgets)).items():
                 self.ledger.observe(budget, view, now_s)
@@ -142,14 +142,14 @@
         changes = [
             self.store.plan_return(budget, 0)
             for budget in self.ledger.budgets()
-            if self.store.unfolded_tokens(budget) and not self.ledger.free_tokens(budget)
+            if self.store.unreported_tokens(budget) and not self.ledger.free_tokens(budget)
         ]
         await self.store.apply([change for change in changes if change is not None])
 
-    async def _return_all(self, message: ReturnAll) -> None:
+    async def _return_all(self, message: ReturnTokens) -> None:
         spare = {}
         for budget in self.ledger.budgets():
-            if self.ledger.free_tokens(budget) > 0 or self.store.unfolded_tokens(budget):
+            if self.ledger.free_tokens(budget) > 0 or self.store.unreported_tokens(budget):
                 spare[budget] = self.ledger.free_tokens(budget)
         await self._give_back(spare)
         held = sum(self.ledger.held_tokens(budget) for budget in self.ledger.budgets())
--- a/turnward/rows/__init__.py
+++ b/turnward/rows/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The store of versioned rows: its base class, messages and errors."""
+"""Store of versioned rows: base class, messages and errors."""
 
 from turnward.rows.core import (
     RowChange,
@@ -11,7 +11,7 @@
 )
 from turnward.rows.eras import RowVersion, StoreEras
 from turnward.rows.errors import (
-    HistoryGoneError,
+    HistoryUnavailableError,
     RowOutcomeUnknownError,
     RowStoreError,
     RowsUnavailableError,
@@ -19,7 +19,7 @@
 )
 
 __all__ = [
-    "HistoryGoneError",
+    "HistoryUnavailableError",
     "RowChange",
     "RowKey",
     "RowOutcomeUnknownError",
