--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -173,7 +173,7 @@
         self._state = state
 
     def hold_s(self, default_s: float) -> float:
-        """See ``FeedPaceBase.hold_s``; shorter on aggregators, as responses are confirmations."""
+        """See ``FeedPaceBase.hold_s``; shorter on aggregators: responses confirm the copy."""
         return min(default_s, _PUBLISHER_POLL_S) if self._is_aggregator else default_s
 
     @property
