--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -133,12 +133,12 @@
     ----------
     reason : Reason
         Why the endpoint that accepts requests first does not accept them now.
-    opens_in_s : float
+    available_in_s : float
         Time until it does; infinite if none will.
     """
 
     reason: Reason
-    opens_in_s: float
+    available_in_s: float
 
 
 _NO_ENDPOINT = PoolShortage(Reason.NO_ENDPOINT, math.inf)
@@ -213,15 +213,17 @@
         self.on_rate_limit: Callable[[EndpointRecord, float | None, HeaderList], None]
         self.on_rate_limit = _ignore_change
 
-    def set_entries(self, entries: dict[str, EndpointEntry], store_was_away: bool = False) -> None:
+    def set_entries(
+        self, entries: dict[str, EndpointEntry], store_was_unavailable: bool = False
+    ) -> None:
         """Replace all entries; records of endpoints that remain are kept.
 
         An endpoint restarted under the same id gets a new record, since failures, backoff and
         cached prompt parts belong to the earlier process.
 
-        ``store_was_away`` tells that the store was unreachable until just now.
+        ``store_was_unavailable`` tells that the store was unreachable until just now.
         """
-        retained = self._retained_incarnations(entries, store_was_away)
+        retained = self._retained_incarnations(entries, store_was_unavailable)
         for record in list(self._records.values()):
             entry = entries.get(record.endpoint_id)
             if entry is None and record.incarnation in retained:
@@ -244,7 +246,7 @@
             self._by_pool.setdefault(record.entry.pool, []).append(record)
 
     def _retained_incarnations(
-        self, entries: dict[str, EndpointEntry], store_was_away: bool
+        self, entries: dict[str, EndpointEntry], store_was_unavailable: bool
     ) -> set[str]:
         """Return the endpoints that stay in use for a while although their entries are missing.
 
@@ -260,7 +262,7 @@
                 for record in records
                 if record.endpoint_id not in entries and not record.availability.draining
             ]
-            many = store_was_away and len(missing) >= max(
+            many = store_was_unavailable and len(missing) >= max(
                 _MIN_LAPSED, _MIN_LAPSED_SHARE * len(records)
             )
             retained.update(
@@ -334,7 +336,7 @@
         unavailable_reason = record.availability.unavailable_reason(self._clock())
         if unavailable_reason is not None or self._limits is None:
             return unavailable_reason
-        if self._limits.opens_in_s(record.incarnation) > 0:
+        if self._limits.available_in_s(record.incarnation) > 0:
             return UnavailableReason.RATE_LIMITED
         self._limits.note_sent(record.incarnation)
         return None
@@ -398,7 +400,7 @@
         """Tell whether the endpoint's rate limit lets this router send a request now."""
         if self._limits is None or not self._limits.is_limited(record.incarnation):
             return True
-        return not record.opening and self._limits.opens_in_s(record.incarnation) <= 0
+        return not record.opening and self._limits.available_in_s(record.incarnation) <= 0
 
     def _is_warm_enough(self, record: EndpointRecord, traits: WarmUpTraits) -> bool:
         """Tell whether the endpoint's warm-up state lets this router send a request now."""
@@ -425,8 +427,8 @@
             and record.availability.unavailable_reason(now_s)
             not in (UnavailableReason.REPLACED, UnavailableReason.DRAINING)
         ]
-        first = min(shortages, key=lambda shortage: shortage.opens_in_s, default=_NO_ENDPOINT)
-        return first if first.opens_in_s > 0 else None
+        first = min(shortages, key=lambda shortage: shortage.available_in_s, default=_NO_ENDPOINT)
+        return first if first.available_in_s > 0 else None
 
     def _shortage_of(self, record: EndpointRecord, now_s: float) -> PoolShortage:
         """Return why an endpoint accepts no requests, and for how long."""
@@ -437,7 +439,7 @@
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
             PoolShortage(Reason.ENDPOINTS_RATE_LIMITED, limited_for_s),
         )
-        return max(shortages, key=lambda shortage: shortage.opens_in_s)
+        return max(shortages, key=lambda shortage: shortage.available_in_s)
 
     def choose(
         self,
--- a/turnward/gateway/overlay.py
+++ b/turnward/gateway/overlay.py
@@ -24,7 +24,7 @@
     PeerBook,
     sum_loads,
 )
-from turnward.gateway.rate_limit import ToldLimit
+from turnward.gateway.rate_limit import RateLimitUpdate
 from turnward.gateway.zone_orders import ZoneOrder
 from turnward.hashing import rendezvous_weight
 from turnward.quarantine import EMPTY_QUARANTINE_UPDATE, QuarantineUpdate
@@ -76,7 +76,7 @@
         Runs that the aggregator knows to have ended in a crash of their endpoint.
     words : tuple of FeedbackUpdate
         Feedback of endpoints, such as draining or backoff, that the aggregator received lately.
-    limits : tuple of ToldLimit
+    limits : tuple of RateLimitUpdate
         Rate limits of endpoints that the aggregator received lately.
     """
 
@@ -93,7 +93,7 @@
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineUpdate = EMPTY_QUARANTINE_UPDATE
     words: tuple[FeedbackUpdate, ...] = ()
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[RateLimitUpdate, ...] = ()
     endpoints_era: int = 0
 
     @property
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -8,7 +8,7 @@
 from turnward.gateway.account_updates import AccountUpdate
 from turnward.gateway.feedback_exchange import FeedbackUpdate
 from turnward.gateway.loans import LoanOffer
-from turnward.gateway.rate_limit import ToldLimit
+from turnward.gateway.rate_limit import RateLimitUpdate
 from turnward.gateway.zone_orders import ZoneOrder
 from turnward.quarantine import EMPTY_QUARANTINE_UPDATE, QuarantineUpdate
 from turnward.rows import RowVersion
@@ -109,7 +109,7 @@
         Runs known to have ended in a crash of their endpoint.
     words : tuple of FeedbackUpdate
         Feedback of endpoints, such as draining or backoff, received lately.
-    limits : tuple of ToldLimit
+    limits : tuple of RateLimitUpdate
         Rate limits that endpoints announced lately.
     accounts : tuple of AccountUpdate
         Contents of the rows of workspaces' tokens that the router has written lately.
@@ -131,7 +131,7 @@
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineUpdate = EMPTY_QUARANTINE_UPDATE
     words: tuple[FeedbackUpdate, ...] = ()
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[RateLimitUpdate, ...] = ()
     endpoints_era: int = 0
     accounts: tuple[AccountUpdate, ...] = ()
 
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -359,12 +359,12 @@
             # The configuration has the shortest timeout; its polls confirm that it is the newest.
             confirms = wait_s <= _CONFIGURATION_WAIT_S
             on_answer = self.state.confirm if confirms else None
-            yield table, wait_s, listener, on_answer, self._feed_pace(confirms)
+            yield table, wait_s, listener, on_answer, self._make_poll_schedule(confirms)
         members = MembersListener(self.book, self.state.unreadable_rows)
         pace = FleetPollSchedule(self.peers.overlay, _MEMBERS_POLL_DELAY_S)
         yield MEMBERS_TABLE, _MEMBERS_WAIT_S, members, None, pace
 
-    def _feed_pace(self, holds_configuration: bool) -> FeedPaceBase:
+    def _make_poll_schedule(self, holds_configuration: bool) -> FeedPaceBase:
         """Return the rule for how often a table of configuration or endpoints is polled."""
         if holds_configuration:
             return PeerConfirmedPollSchedule(self.peers.overlay, _ROWS_POLL_DELAY_S, self.state)
--- a/turnward/gateway/rate_limit.py
+++ b/turnward/gateway/rate_limit.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-__all__ = ["RateLimit", "RateShare", "ToldLimit"]
+__all__ = ["RateLimit", "RateShare", "RateLimitUpdate"]
 
 #: Lowest rate that is enforced, in requests per second. At 0 no router would ever send a request
 #: and notice that the limit was raised.
@@ -102,7 +102,7 @@
     >>> limit = RateLimit("me")
     >>> limit.observe(1.5, now_s=1.0), limit.observe(1.5, now_s=2.0)
     (True, False)
-    >>> limit.merge(ToldLimit("e-1", None, 900, "other", 70), now_s=2.5)
+    >>> limit.merge(RateLimitUpdate("e-1", None, 900, "other", 70), now_s=2.5)
     False
     """
 
@@ -135,7 +135,7 @@
         self.observed_ms = round(now_s * 1_000)
         return self._set(per_s, now_s, now_s)
 
-    def merge(self, update: "ToldLimit", now_s: float) -> bool:
+    def merge(self, update: "RateLimitUpdate", now_s: float) -> bool:
         """Merge an update of another router; return True if the limit changed."""
         if (
             update.observed_ms <= self._last_observed_ms.get(update.observer, -1)
@@ -174,7 +174,7 @@
         """Record that this router sends the endpoint a request."""
         self._sent_s = now_s
 
-    def opens_in_s(self, share: RateShare, now_s: float) -> float:
+    def available_in_s(self, share: RateShare, now_s: float) -> float:
         """Return the time until this router may send a request; 0 if it may now."""
         if self.per_s is None:
             return 0.0
@@ -184,7 +184,7 @@
         return max(0.0, probe_s - now_s)
 
 
-class ToldLimit(msgspec.Struct, frozen=True, array_like=True):
+class RateLimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Rate limit that an endpoint announced to some router; array on the wire.
 
     Attributes
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from turnward.gateway.member_ranks import MemberRanks
-from turnward.gateway.rate_limit import RateLimit, RateShare, ToldLimit
+from turnward.gateway.rate_limit import RateLimit, RateLimitUpdate, RateShare
 
 __all__ = ["RateLimits"]
 
@@ -59,12 +59,12 @@
 
     # Admission of requests.
 
-    def opens_in_s(self, incarnation: str) -> float:
+    def available_in_s(self, incarnation: str) -> float:
         """Return the time until this router may send an endpoint a request; 0 if it may now."""
         limit = self._limits.get(incarnation)
         if limit is None or limit.per_s is None:
             return 0.0
-        return limit.opens_in_s(self._share(incarnation, limit.per_s), self._clock())
+        return limit.available_in_s(self._share(incarnation, limit.per_s), self._clock())
 
     def fleet_wait_s(self, incarnation: str) -> float:
         """Return the time until a caller may be served there, by whichever router.
@@ -75,7 +75,7 @@
         if limit is None or limit.per_s is None:
             return 0.0
         share = self._share(incarnation, limit.per_s)
-        return min(share.interval_s, limit.opens_in_s(share, self._clock()))
+        return min(share.interval_s, limit.available_in_s(share, self._clock()))
 
     def is_limited(self, incarnation: str) -> bool:
         """Return whether an endpoint has a limit."""
@@ -99,11 +99,11 @@
 
     # Exchange among routers.
 
-    def announced(self) -> tuple[ToldLimit, ...]:
+    def announced(self) -> tuple[RateLimitUpdate, ...]:
         """Return the recently received limits to announce, newest first."""
         now_s = self._clock()
         updates = [
-            ToldLimit(
+            RateLimitUpdate(
                 incarnation,
                 limit.per_s,
                 round((now_s - limit.announced_s) * 1_000),
@@ -116,7 +116,7 @@
         updates.sort(key=lambda update: update.age_ms)
         return tuple(updates[:_MAX_ANNOUNCED])
 
-    def merge(self, updates: Iterable[ToldLimit]) -> None:
+    def merge(self, updates: Iterable[RateLimitUpdate]) -> None:
         """Merge updates of another router."""
         now_s = self._clock()
         for update in updates:
--- a/turnward/gateway/retry_after.py
+++ b/turnward/gateway/retry_after.py
@@ -67,8 +67,8 @@
     def _refused_for_s(self, reason: Reason, pool: str, excess_s: float) -> float:
         """Return how long the pool is likely to refuse requests."""
         shortage = self._endpoints.shortage(pool)
-        opens_in_s = shortage.opens_in_s if shortage is not None else 0.0
-        pool_wait_s = opens_in_s if math.isfinite(opens_in_s) else 0.0
+        available_in_s = shortage.available_in_s if shortage is not None else 0.0
+        pool_wait_s = available_in_s if math.isfinite(available_in_s) else 0.0
         if reason is Reason.ENDPOINTS_COLD:
             return pool_wait_s
         overload = self._overloads.setdefault(pool, OverloadPeriod(self._clock))
--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -36,7 +36,7 @@
         Rate limit in its responses; None: they have none.
     sends : list of Send
         Requests that reached it.
-    told_draining_s, backoffs, told_limit_s : dict
+    draining_sent_s, backoffs, limit_sent_s : dict
         By router process: when it was first told that the endpoint is draining; begin and end of
         each backoff asked of it; when it was first told of a limit.
     """
@@ -48,9 +48,9 @@
         self.rejects = False
         self.limit_per_s: float | None = None
         self.sends: list[Send] = []
-        self.told_draining_s: dict[str, float] = {}
+        self.draining_sent_s: dict[str, float] = {}
         self.backoffs: dict[str, list[tuple[float, float]]] = {}
-        self.told_limit_s: dict[str, float] = {}
+        self.limit_sent_s: dict[str, float] = {}
         self.endpoint = simulation.harness.endpoint(self._receive, announce=False)
         simulation.harness.announce(self.endpoint, zone=zone)
 
@@ -76,9 +76,9 @@
         if request.gone:
             return
         if self.draining:
-            self.told_draining_s.setdefault(router, self._simulation.now_s)
+            self.draining_sent_s.setdefault(router, self._simulation.now_s)
         if self.limit_per_s is not None:
-            self.told_limit_s.setdefault(router, self._simulation.now_s)
+            self.limit_sent_s.setdefault(router, self._simulation.now_s)
         request.answer(200, [*answer_head(request), *self._feedback_headers()], b"fine")
 
     def _feedback_headers(self):
@@ -90,7 +90,7 @@
     def sends_after_draining(self) -> int:
         """Count requests of routers that had been told before that it is draining."""
         return sum(
-            send.time_s > self.told_draining_s.get(send.router, 1e9) + IN_FLIGHT_S
+            send.time_s > self.draining_sent_s.get(send.router, 1e9) + IN_FLIGHT_S
             for send in self.sends
         )
 
@@ -110,8 +110,8 @@
 
     def max_sends_when_limited(self, span_s: float) -> int:
         """Return the most requests in a sliding window, once a router was told of the limit."""
-        first_told_s = min(self.told_limit_s.values(), default=1e9)
-        times = [send.time_s for send in self.sends if send.time_s > first_told_s + IN_FLIGHT_S]
+        first_limited_s = min(self.limit_sent_s.values(), default=1e9)
+        times = [send.time_s for send in self.sends if send.time_s > first_limited_s + IN_FLIGHT_S]
         return max_in_window(times, span_s)
 
 
--- a/turnward/gateway/tests/rate_limit_simulation.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -128,7 +128,7 @@
     def permits(self, endpoint):
         if not self.limits.is_limited(endpoint):
             return True
-        return not self.opening[endpoint] and self.limits.opens_in_s(endpoint) <= 0
+        return not self.opening[endpoint] and self.limits.available_in_s(endpoint) <= 0
 
 
 class Fleet:
@@ -202,7 +202,7 @@
 
     def _send(self, router, endpoint, excluded):
         router.opening[endpoint] -= 1
-        if router.limits.opens_in_s(endpoint) > 0:
+        if router.limits.available_in_s(endpoint) > 0:
             self._dispatch(router, (*excluded, endpoint))
             return
         sent_s = self.clock()
@@ -303,7 +303,7 @@
 class CentralLeases(RateLimits):
     """The first-ranked member grants each request; a router that can't reach it sends none."""
 
-    def opens_in_s(self, incarnation):
+    def available_in_s(self, incarnation):
         limit = self._limits.get(incarnation)
         if limit is None or limit.per_s is None:
             return 0.0
@@ -340,7 +340,7 @@
 class FixedWindows(RateLimits):
     """Broken variant: each holder may send its share of a fixed window in one burst."""
 
-    def opens_in_s(self, incarnation):
+    def available_in_s(self, incarnation):
         limit = self._limits.get(incarnation)
         if limit is None or limit.per_s is None:
             return 0.0
--- a/turnward/gateway/tests/test_availability.py
+++ b/turnward/gateway/tests/test_availability.py
@@ -143,7 +143,7 @@
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
     assert shortage.reason is Reason.ENDPOINTS_BACKING_OFF
-    assert 2.0 <= shortage.opens_in_s <= 2.0 * 1.25
+    assert 2.0 <= shortage.available_in_s <= 2.0 * 1.25
     world.now_s += 2.0 * 1.25
     assert chosen(world) == {"e-1"}
     assert world.book.shortage("pool") is None
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -189,10 +189,10 @@
 # Entries that lapse while the store is away.
 
 
-def omit(world, *numbers, store_was_away=True):
+def omit(world, *numbers, store_was_unavailable=True):
     """Set the entries again without those of some endpoints."""
     kept = {name: entry for name, entry in world.entries.items() if int(name[2:]) not in numbers}
-    world.book.set_entries(kept, store_was_away)
+    world.book.set_entries(kept, store_was_unavailable)
 
 
 def test_endpoints_whose_entries_lapse_together_stay_in_use_until_the_entries_return():
@@ -200,7 +200,7 @@
     omit(world, *range(8))
     assert len(chosen_ids(world, 60)) == 8
     world.now_s += 0.8
-    omit(world, *range(4), store_was_away=False)
+    omit(world, *range(4), store_was_unavailable=False)
     assert len(chosen_ids(world, 60)) == 8
     world.now_s += 0.5
     world.book.set_entries(world.entries)
@@ -221,7 +221,7 @@
 
 def test_entries_that_vanish_while_the_store_answers_are_removed_at_once():
     world = World(count=8)
-    omit(world, 0, 1, 2, store_was_away=False)
+    omit(world, 0, 1, 2, store_was_unavailable=False)
     assert len(chosen_ids(world, 60)) == 5
 
 
@@ -354,7 +354,7 @@
     assert not world.book.has_other("pool", set())
     shortage = world.book.shortage("pool")
     assert shortage.reason is Reason.ENDPOINTS_COLD
-    assert 2.9 <= shortage.opens_in_s <= 3.0
+    assert 2.9 <= shortage.available_in_s <= 3.0
 
 
 def test_pool_without_warm_up_traits_has_no_cold_endpoints():
--- a/turnward/gateway/tests/test_endpoint_restarts.py
+++ b/turnward/gateway/tests/test_endpoint_restarts.py
@@ -73,7 +73,7 @@
         endpoint_id: msgspec.structs.replace(entry, born_ms=2_000)
         for endpoint_id, entry in world.entries.items()
     }
-    world.book.set_entries(world.entries, store_was_away=True)
+    world.book.set_entries(world.entries, store_was_unavailable=True)
     assert {record.incarnation for record in world.book.all()} == {"e-0@2000", "e-1@2000"}
 
 
--- a/turnward/gateway/tests/test_feedback_in_answers.py
+++ b/turnward/gateway/tests/test_feedback_in_answers.py
@@ -35,7 +35,7 @@
     simulation = FeedbackSimulation(gateways=3, endpoints=4)
     simulation.endpoints[0].draining = True
     simulation.send_requests(6.0)
-    assert simulation.endpoints[0].told_draining_s
+    assert simulation.endpoints[0].draining_sent_s
     assert simulation.endpoints[0].sends_after_draining() == 0
     assert set(simulation.statuses()) == {200}
 
@@ -318,7 +318,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_feedback_is_obeyed_during_random_faults(size, seed):
     endpoints = FaultSchedule(size, seed).run(60)
-    assert sum(bool(endpoint.told_draining_s) for endpoint in endpoints) >= 2
+    assert sum(bool(endpoint.draining_sent_s) for endpoint in endpoints) >= 2
     assert sum(endpoint.sends_after_draining() for endpoint in endpoints) == 0
     assert max(endpoint.max_sends_in_backoff() for endpoint in endpoints) <= 1
 
--- a/turnward/gateway/tests/test_mixed_versions.py
+++ b/turnward/gateway/tests/test_mixed_versions.py
@@ -20,7 +20,7 @@
 from turnward.gateway.overlay import FleetSummary
 from turnward.gateway.peer_book import DIGEST_LAYOUT, OLDEST_DIGEST_LAYOUT, Digest, EndpointLoad
 from turnward.gateway.quarantine_rows import QuarantineRow
-from turnward.gateway.rate_limit import ToldLimit
+from turnward.gateway.rate_limit import RateLimitUpdate
 from turnward.gateway.spending import SpendReport
 from turnward.gateway.state import EndpointsSnapshot
 from turnward.gateway.tests.harness import Harness, answer_ok
@@ -137,7 +137,7 @@
         incarnation: str
         address: str
 
-    limits = (ToldLimit("e", 2.0, 10, "me", 70),)
+    limits = (RateLimitUpdate("e", 2.0, 10, "me", 70),)
     digest = Digest(DIGEST_LAYOUT, "n", "n@1", "a:1", "z", 1, 1, 0.5, limits=limits)
     older = msgspec.msgpack.decode(msgspec.msgpack.encode(digest), type=Older)
     assert (older.node, older.address) == ("n", "a:1")
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -9,7 +9,7 @@
 
 from turnward.gateway.member_ranks import MemberRanks
 from turnward.gateway.peer_book import PeerBook
-from turnward.gateway.rate_limit import RateShare, ToldLimit
+from turnward.gateway.rate_limit import RateLimitUpdate, RateShare
 from turnward.gateway.rate_limits import RateLimits
 from turnward.gateway.tests.feedback_simulation import FeedbackSimulation
 from turnward.gateway.tests.harness import Harness, answer_ok, answered
@@ -42,7 +42,7 @@
         endpoint.limit_per_s = limit_per_s
     simulation.send_requests(12.0, interval_s=0.04)
     for endpoint in limited:
-        assert endpoint.told_limit_s
+        assert endpoint.limit_sent_s
         assert endpoint.max_sends_when_limited(WINDOW_S) <= allowed(endpoint.limit_per_s)
     assert set(simulation.statuses()) == {200}
 
@@ -164,8 +164,8 @@
 def test_limit_does_not_apply_after_a_restart():
     limits = RateLimits(lambda: 0.0, fixed_ranks(rank=3, members=4), "me")
     limits.name("e-1@1", 0.2)
-    assert limits.opens_in_s("e-1@1") > 0
-    assert limits.opens_in_s("e-1@2") == 0
+    assert limits.available_in_s("e-1@1") > 0
+    assert limits.available_in_s("e-1@2") == 0
 
 
 def test_requests_waiting_for_connections_obey_a_new_limit():
@@ -209,19 +209,19 @@
 
 def test_newer_update_wins_in_any_order():
     router = RouterUnderTest()
-    router.limits.merge([ToldLimit("e", 2.0, 1_000, "a", 70)])
-    router.limits.merge([ToldLimit("e", 5.0, 3_000, "b", 70)])
+    router.limits.merge([RateLimitUpdate("e", 2.0, 1_000, "a", 70)])
+    router.limits.merge([RateLimitUpdate("e", 5.0, 3_000, "b", 70)])
     assert router.per_s == 2.0
-    router.limits.merge([ToldLimit("e", None, 0, "a", 71)])
+    router.limits.merge([RateLimitUpdate("e", None, 0, "a", 71)])
     assert router.per_s is None
-    router.limits.merge([ToldLimit("e", 2.0, 500, "b", 71)])
+    router.limits.merge([RateLimitUpdate("e", 2.0, 500, "b", 71)])
     assert router.per_s is None
 
 
 def test_duplicate_update_does_not_refresh_a_limit():
     """Forwarded repeatedly, with a delay each time, it would never expire."""
     router = RouterUnderTest()
-    update = ToldLimit("e", 2.0, 100, "a", 70)
+    update = RateLimitUpdate("e", 2.0, 100, "a", 70)
     router.limits.merge([update])
     router.now_s += 1.0
     router.limits.merge([update])
@@ -251,33 +251,33 @@
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
     router.now_s += 0.6
-    router.limits.merge([ToldLimit("e", None, 300, "a", 70)])
+    router.limits.merge([RateLimitUpdate("e", None, 300, "a", 70)])
     assert router.per_s == 2.0
-    router.limits.merge([ToldLimit("e", None, 50, "a", 320)])
+    router.limits.merge([RateLimitUpdate("e", None, 50, "a", 320)])
     assert router.per_s is None
 
 
 def test_router_without_a_share_probes_only_after_long_silence():
     router = RouterUnderTest(rank=3, members=4)
     router.limits.name("e", 0.5)
-    assert router.limits.opens_in_s("e") == 5.0 + 4.0 * 3 / 0.5
+    assert router.limits.available_in_s("e") == 5.0 + 4.0 * 3 / 0.5
     router.now_s += 20.0
-    router.limits.merge([ToldLimit("e", 0.5, 0, "a", 70)])
-    assert router.limits.opens_in_s("e") == 5.0 + 4.0 * 3 / 0.5
+    router.limits.merge([RateLimitUpdate("e", 0.5, 0, "a", 70)])
+    assert router.limits.available_in_s("e") == 5.0 + 4.0 * 3 / 0.5
     router.now_s += 29.0
-    assert router.limits.opens_in_s("e") == 0.0
+    assert router.limits.available_in_s("e") == 0.0
     router.limits.note_sent("e")
-    assert router.limits.opens_in_s("e") == 5.0 + 4.0 * 4 / 0.5
+    assert router.limits.available_in_s("e") == 5.0 + 4.0 * 4 / 0.5
 
 
 def test_old_limits_are_not_announced():
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
-    router.limits.merge([ToldLimit("other", 2.0, 3_000, "a", 70)])
+    router.limits.merge([RateLimitUpdate("other", 2.0, 3_000, "a", 70)])
     router.now_s += 1.0
     assert router.limits.announced() == (
-        ToldLimit("e", 2.0, 1_000, "me", 100_000),
-        ToldLimit("other", 2.0, 4_000, "a", 70),
+        RateLimitUpdate("e", 2.0, 1_000, "me", 100_000),
+        RateLimitUpdate("other", 2.0, 4_000, "a", 70),
     )
     router.now_s += 1.0
     assert router.limits.announced() == ()
--- a/turnward/gateway/tests/test_warm_up.py
+++ b/turnward/gateway/tests/test_warm_up.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from turnward.gateway.tests.warm_up_sim import (
+from turnward.gateway.tests.warm_up_simulation import (
     Fleet,
     NoRampStrategy,
     Scenario,
@@ -15,7 +15,7 @@
     stated_limit,
 )
 
-#: Seeds of random scenarios; ``python -m turnward.gateway.tests.warm_up_sim 200`` runs more.
+#: Seeds of random scenarios; ``python -m turnward.gateway.tests.warm_up_simulation 200`` runs more.
 SEEDS = (*range(12), 83, 102, 398, 696)
 
 
