--- a/turnward/gateway/borrowing.py
+++ b/turnward/gateway/borrowing.py
@@ -53,13 +53,13 @@
 
     def lendable_tokens(self, workspace: str) -> int:
         """Return the tokens that all peers together offer to lend."""
-        return sum(tokens for _, tokens in self.lenders.spare(workspace))
+        return sum(tokens for _, tokens in self.lenders.surplus(workspace))
 
     async def borrow(self, account: WorkspaceAccount) -> None:
         """Ask one peer after another until the waiting requests have enough tokens."""
         account.borrowing = True
         try:
-            for address, _ in self.lenders.spare(account.workspace)[: self._rule.max_lenders]:
+            for address, _ in self.lenders.surplus(account.workspace)[: self._rule.max_lenders]:
                 request = self._loan_request(account)
                 if request is None:
                     return
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -314,7 +314,7 @@
             self.on_feedback(record, reason, headers)
         if feedback.limit_per_s is None or self._limits is None:
             return
-        if self._limits.name(record.incarnation, feedback.limit_per_s):
+        if self._limits.set_limit(record.incarnation, feedback.limit_per_s):
             self.on_rate_limit(record, feedback.limit_per_s, headers)
 
     def note_success(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -64,7 +64,7 @@
     --------
     >>> exchange = FeedbackExchange(lambda: 0.0, print)
     >>> exchange.record("e-1", draining=False, backoff_s=2.0)
-    >>> exchange.words()
+    >>> exchange.updates()
     (FeedbackUpdate(endpoint='e-1', draining=False, backoff_left_ms=2000),)
     >>> exchange.merge([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
     FeedbackUpdate(endpoint='e-2', draining=True, backoff_left_ms=0)
@@ -86,7 +86,7 @@
             if self._merge(update.endpoint, update.draining, update.backoff_left_ms / 1_000):
                 self._on_update(update)
 
-    def words(self) -> tuple[FeedbackUpdate, ...]:
+    def updates(self) -> tuple[FeedbackUpdate, ...]:
         """Return the recent updates to announce, newest first."""
         now_s = self._clock()
         updates = []
--- a/turnward/gateway/feeds.py
+++ b/turnward/gateway/feeds.py
@@ -21,7 +21,7 @@
 
 __all__ = [
     "FeedListenerBase",
-    "FeedPaceBase",
+    "PollScheduleBase",
     "FleetPollSchedule",
     "ImmediatePollSchedule",
     "Reread",
@@ -88,7 +88,7 @@
         """Handle changed rows; removed ones are marked ``gone``."""
 
 
-class FeedPaceBase(ABC):
+class PollScheduleBase(ABC):
     """Decides how often a feed polls the store."""
 
     @abstractmethod
@@ -110,19 +110,19 @@
         return False
 
 
-class ImmediatePollSchedule(FeedPaceBase):
+class ImmediatePollSchedule(PollScheduleBase):
     """Polls again without delay."""
 
     def hold_s(self, default_s: float) -> float:
-        """See ``FeedPaceBase.hold_s``."""
+        """See ``PollScheduleBase.hold_s``."""
         return default_s
 
     def delay_s(self) -> float:
-        """See ``FeedPaceBase.delay_s``."""
+        """See ``PollScheduleBase.delay_s``."""
         return 0.0
 
 
-class FleetPollSchedule(FeedPaceBase):
+class FleetPollSchedule(PollScheduleBase):
     """Polls less often on routers that publish no updates.
 
     Aggregators announce the newest versions and which router has them, so other routers learn of a
@@ -142,11 +142,11 @@
         self._delay_s = delay_s
 
     def hold_s(self, default_s: float) -> float:
-        """See ``FeedPaceBase.hold_s``."""
+        """See ``PollScheduleBase.hold_s``."""
         return default_s if self._overlay.publishes_updates else max(default_s, _LONG_POLL_S)
 
     def delay_s(self) -> float:
-        """See ``FeedPaceBase.delay_s``."""
+        """See ``PollScheduleBase.delay_s``."""
         if self._overlay.mesh:
             return 0.0
         return _PUBLISHER_DELAY_S if self._overlay.publishes_updates else self._delay_s
@@ -173,19 +173,19 @@
         self._state = state
 
     def hold_s(self, default_s: float) -> float:
-        """See ``FeedPaceBase.hold_s``; shorter on aggregators: responses confirm the copy."""
+        """See ``PollScheduleBase.hold_s``; shorter on aggregators: responses confirm the copy."""
         return min(default_s, _PUBLISHER_POLL_S) if self._is_aggregator else default_s
 
     @property
     def suspended(self) -> bool:
-        """See ``FeedPaceBase.suspended``."""
+        """See ``PollScheduleBase.suspended``."""
         if self._overlay.publishes_updates or not self._overlay.receives_updates:
             return False
         return self._state.unconfirmed_for_s() < _CONFIRMATION_LIFETIME_S
 
     @property
     def rereads_after_outage(self) -> bool:
-        """See ``FeedPaceBase.rereads_after_outage``; other routers fetch copies from peers."""
+        """See ``PollScheduleBase.rereads_after_outage``; other routers fetch copies from peers."""
         return self._is_aggregator
 
     @property
@@ -215,7 +215,7 @@
         Called with True after a successful poll, with False and the cause after a failed one.
     on_answer : callable, optional
         Called after each response with the time in seconds as of which it is valid.
-    poll_schedule : FeedPaceBase, optional
+    poll_schedule : PollScheduleBase, optional
         Decides how often the store is polled; consulted before each poll.
     on_reread : callable, optional
         Called with a ``Reread`` after the table was read again, once per known version.
@@ -231,7 +231,7 @@
         rng: random.Random,
         on_health: Callable[..., None],
         on_answer: Callable[[float], None] | None = None,
-        poll_schedule: "FeedPaceBase | None" = None,
+        poll_schedule: "PollScheduleBase | None" = None,
         on_reread: Callable[[Reread], None] | None = None,
     ):
         self._reactor = clock_reactor
--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -36,8 +36,8 @@
         self._call = call
         self._clock = clock
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         oldest_s = self._clock() - _SURPLUS_TTL_S
         offers = [
             (peer.address, offer.tokens)
@@ -80,10 +80,10 @@
         self._clock = clock
         self._empty_until_s: dict[tuple[str, str], float] = {}
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         if self._holders.all_routers_hold:
-            return self._peers.spare(workspace)
+            return self._peers.surplus(workspace)
         now_s = self._clock()
         return [
             (address, _ASSUMED_SURPLUS_TOKENS)
--- a/turnward/gateway/loans.py
+++ b/turnward/gateway/loans.py
@@ -103,7 +103,7 @@
     """Peers that may lend tokens."""
 
     @abstractmethod
-    def spare(self, workspace: str) -> list[tuple[str, int]]:
+    def surplus(self, workspace: str) -> list[tuple[str, int]]:
         """Return address and surplus tokens of each peer that has some, largest surplus first."""
 
     @abstractmethod
@@ -114,8 +114,8 @@
 class NoLenders(LenderBase):
     """No lenders, for a router without peers."""
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         return []
 
     async def ask(self, address, request):
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -239,12 +239,12 @@
             loads=tuple(self._loads()[:_MAX_LOADS]),
             stopping=self.stopping,
             short=self._accounts.short,
-            spare=tuple(self._accounts.spare()[:_MAX_LOAN_OFFERS])
+            spare=tuple(self._accounts.surplus()[:_MAX_LOAN_OFFERS])
             if self._any_peer_short()
             else (),
             zone_orders=self._state.announced_zone_orders(),
             quarantine=self._quarantine.make_update(),
-            words=self._feedback_exchange.words(),
+            words=self._feedback_exchange.updates(),
             limits=self._limits.announced(),
             accounts=self._accounts.updates.announced(),
         )
--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -123,7 +123,7 @@
     ----------
     holder_client : HolderClient or None
         Requests tokens from the holders of a workspace if this router is not one of them.
-    news : AccountUpdates
+    updates : AccountUpdates
         Contents of rows as last known here and at other routers.
     on_written : callable
         Called after each write of a row, so that it is announced to other routers soon.
@@ -534,7 +534,7 @@
         self._store_unreachable = True
         self._log.failure("prepaid.contact_lost")
         for workspace, account in self._accounts.items():
-            if account.waiters and self.lenders.spare(workspace):
+            if account.waiters and self.lenders.surplus(workspace):
                 self._borrow(account)
                 continue
             self._refuse_waiters(account, BudgetRefusal.UNREACHABLE)
@@ -859,7 +859,7 @@
             now_s < account.short_until_s for account in self._accounts.values()
         )
 
-    def spare(self) -> list[LoanOffer]:
+    def surplus(self) -> list[LoanOffer]:
         """Return the tokens that could be lent by workspace, largest first."""
         offers = [LoanOffer(name, self._lendable_tokens(name)) for name in self.ledger.budgets()]
         offers = [offer for offer in offers if offer.tokens >= self._loan_rule.min_offer_tokens]
--- a/turnward/gateway/process.py
+++ b/turnward/gateway/process.py
@@ -17,9 +17,9 @@
 from turnward.gateway.endpoint_reporter import EndpointReporter
 from turnward.gateway.feeds import (
     FeedListenerBase,
-    FeedPaceBase,
     FleetPollSchedule,
     PeerConfirmedPollSchedule,
+    PollScheduleBase,
     Reread,
     TableFeed,
 )
@@ -178,7 +178,7 @@
         self.stopped: defer.Deferred = defer.Deferred()
         self.incarnation = incarnation
         self.state = FleetState(reactor.seconds)
-        self.state.listen(self._state_changed)
+        self.state.add_listener(self._state_changed)
         self.state.unreadable_rows.on_unreadable = self._log_unreadable_row
         self.book = PeerBook(self.peers_address, reactor.seconds)
         self._add_seeds()
@@ -364,7 +364,7 @@
         pace = FleetPollSchedule(self.peers.overlay, _MEMBERS_POLL_DELAY_S)
         yield MEMBERS_TABLE, _MEMBERS_WAIT_S, members, None, pace
 
-    def _make_poll_schedule(self, holds_configuration: bool) -> FeedPaceBase:
+    def _make_poll_schedule(self, holds_configuration: bool) -> PollScheduleBase:
         """Return the rule for how often a table of configuration or endpoints is polled."""
         if holds_configuration:
             return PeerConfirmedPollSchedule(self.peers.overlay, _ROWS_POLL_DELAY_S, self.state)
--- a/turnward/gateway/rate_limits.py
+++ b/turnward/gateway/rate_limits.py
@@ -40,7 +40,7 @@
 
     # Responses of endpoints.
 
-    def name(self, incarnation: str, per_s: float) -> bool:
+    def set_limit(self, incarnation: str, per_s: float) -> bool:
         """Apply the limit in a response; return True if it changed."""
         return self._get_or_create(incarnation).observe(per_s, self._clock())
 
--- a/turnward/gateway/state.py
+++ b/turnward/gateway/state.py
@@ -85,7 +85,7 @@
         """Whether everything that is needed to serve requests is known."""
         return self.routes is not None and self.endpoints_version > 0 and self.zone_orders_known
 
-    def listen(self, listener: Callable[[str, str], None]) -> None:
+    def add_listener(self, listener: Callable[[str, str], None]) -> None:
         """Call ``listener(kind, source)`` after each change.
 
         ``kind`` is ``configuration``, ``endpoints`` or ``zone_orders``.
--- a/turnward/gateway/tests/rate_limit_simulation.py
+++ b/turnward/gateway/tests/rate_limit_simulation.py
@@ -215,7 +215,7 @@
     def _answer(self, router, endpoint, sent_s):
         if self.clock() < self.scenario.lifted_s:
             self.announced_s.setdefault(endpoint, self.clock())
-            router.limits.name(endpoint, self.scenario.per_s)
+            router.limits.set_limit(endpoint, self.scenario.per_s)
             router.announced_s.setdefault(endpoint, self.clock())
         else:
             router.limits.note_unlimited(endpoint, sent_s)
--- a/turnward/gateway/tests/test_feedback_exchange.py
+++ b/turnward/gateway/tests/test_feedback_exchange.py
@@ -25,7 +25,7 @@
     def run(self, seconds):
         for _ in range(round(seconds * 4)):
             self.now_s += 0.25
-            messages = [router.words() for router in self.routers]
+            messages = [router.updates() for router in self.routers]
             for router in self.routers:
                 for updates in messages:
                     # Updates do not account for the transit time.
@@ -40,7 +40,7 @@
     assert len(fleet.received) == 4
     fleet.run(30.0)
     assert len(fleet.received) == 4
-    assert not any(router.words() for router in fleet.routers)
+    assert not any(router.updates() for router in fleet.routers)
 
 
 def test_longer_backoff_and_draining_are_new_updates():
@@ -62,7 +62,7 @@
     fleet = Fleet(1)
     for number in range(2_000):
         fleet.routers[0].record(f"endpoint-{number}@1791507413292", draining=True, backoff_s=0.0)
-    updates = fleet.routers[0].words()
+    updates = fleet.routers[0].updates()
     assert len(updates) == 32
     assert len(msgspec.msgpack.encode(updates)) < 1_300
     assert len(fleet.routers[0]._known) == 1_000
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -142,10 +142,10 @@
     def other(self):
         return self.simulation.routers[1 - self.index]
 
-    def spare(self, workspace):
+    def surplus(self, workspace):
         if self.other is None:
             return []
-        offers = [spare.tokens for spare in self.other.spare() if spare.workspace == workspace]
+        offers = [offer.tokens for offer in self.other.surplus() if offer.workspace == workspace]
         return [("other", offers[0])] if offers else []
 
     async def ask(self, address, ask):
@@ -394,7 +394,7 @@
         self.ledger.settle(result.ok, tokens)
         return tokens
 
-    def spare(self):
+    def surplus(self):
         return [LoanOffer("acme", self.ledger.free_tokens("acme"))]
 
 
@@ -662,7 +662,7 @@
     while simulation.stores[0].decide("refused"):
         pass
     # Lendable tokens of peers would count as well; here no peer can lend.
-    simulation.routers[1].spare = list
+    simulation.routers[1].surplus = list
     assert router.reserve("acme", held - 2, priority=2) is BudgetRefusal.UNREACHABLE
     assert isinstance(router.reserve("acme", held - 2, priority=0), Reservation)
 
@@ -697,7 +697,7 @@
     simulation.spend(0, 20)
     answer_all_calls(simulation)
     simulation.clock.advance(SPEND_ALL_S)
-    held = simulation.routers[0].spare()[0].tokens
+    held = simulation.routers[0].surplus()[0].tokens
     assert held >= 6
     disconnect_store(simulation, 1)
     answers = []
@@ -717,7 +717,7 @@
     simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
     simulation.lenders[1].decide("refused")
     assert answers == [BudgetRefusal.UNREACHABLE]
-    simulation.routers[0].spare = list
+    simulation.routers[0].surplus = list
     assert simulation.routers[1].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -163,7 +163,7 @@
 
 def test_limit_does_not_apply_after_a_restart():
     limits = RateLimits(lambda: 0.0, fixed_ranks(rank=3, members=4), "me")
-    limits.name("e-1@1", 0.2)
+    limits.set_limit("e-1@1", 0.2)
     assert limits.available_in_s("e-1@1") > 0
     assert limits.available_in_s("e-1@2") == 0
 
@@ -177,7 +177,7 @@
     for caller in callers:
         caller.transport.write(harness.request_bytes())
     harness.network.advance_until(lambda: record.opening == 6)
-    harness.gateways[0]._limits.name("e-1", 1.0)
+    harness.gateways[0]._limits.set_limit("e-1", 1.0)
     harness.network.advance_until(lambda: all(answered(caller) for caller in callers))
     assert len(limited.requests) == 1
     assert sorted(caller.status for caller in callers) == [200] + [503] * 5
@@ -230,7 +230,7 @@
 
 def test_own_update_that_comes_back_is_ignored():
     router = RouterUnderTest()
-    router.limits.name("e", 2.0)
+    router.limits.set_limit("e", 2.0)
     (own_update,) = router.limits.announced()
     router.now_s += 1.0
     router.limits.merge([own_update])
@@ -239,7 +239,7 @@
 
 def test_response_to_an_earlier_request_does_not_lift_a_limit():
     router = RouterUnderTest()
-    router.limits.name("e", 2.0)
+    router.limits.set_limit("e", 2.0)
     router.now_s += 0.2
     assert not router.limits.note_unlimited("e", sent_s=99.9)
     assert router.per_s == 2.0
@@ -249,7 +249,7 @@
 
 def test_peer_lifts_a_limit_only_when_clearly_later():
     router = RouterUnderTest()
-    router.limits.name("e", 2.0)
+    router.limits.set_limit("e", 2.0)
     router.now_s += 0.6
     router.limits.merge([RateLimitUpdate("e", None, 300, "a", 70)])
     assert router.per_s == 2.0
@@ -259,7 +259,7 @@
 
 def test_router_without_a_share_probes_only_after_long_silence():
     router = RouterUnderTest(rank=3, members=4)
-    router.limits.name("e", 0.5)
+    router.limits.set_limit("e", 0.5)
     assert router.limits.available_in_s("e") == 5.0 + 4.0 * 3 / 0.5
     router.now_s += 20.0
     router.limits.merge([RateLimitUpdate("e", 0.5, 0, "a", 70)])
@@ -272,7 +272,7 @@
 
 def test_old_limits_are_not_announced():
     router = RouterUnderTest()
-    router.limits.name("e", 2.0)
+    router.limits.set_limit("e", 2.0)
     router.limits.merge([RateLimitUpdate("other", 2.0, 3_000, "a", 70)])
     router.now_s += 1.0
     assert router.limits.announced() == (
@@ -287,7 +287,7 @@
     router = RouterUnderTest()
     for number in range(100):
         router.now_s += 0.01
-        router.limits.name(f"e-{number}", 2.0)
+        router.limits.set_limit(f"e-{number}", 2.0)
     updates = router.limits.announced()
     assert len(updates) == 32
     assert updates[0].endpoint == "e-99"
@@ -296,5 +296,5 @@
 def test_remembered_endpoints_are_bounded():
     router = RouterUnderTest()
     for number in range(1_500):
-        router.limits.name(f"e-{number}", 2.0)
+        router.limits.set_limit(f"e-{number}", 2.0)
     assert len(router.limits._limits) == 1_000
