--- a/turnward/gateway/availability.py
+++ b/turnward/gateway/availability.py
@@ -31,7 +31,7 @@
 _FAILURES_TO_SUSPECT = 2
 #: Time within which the entry of a stopped endpoint is removed everywhere.
 _REPLACED_S = 10.0
-#: Time for which an endpoint that told another router that it drains is deprioritized.
+#: Time for which an endpoint is deprioritized after another router announced that it is draining.
 _PEER_DRAINING_S = 60.0
 #: A backoff is reported again only if it ends later than the current one by more than this:
 #: requests in flight when it began are rejected at about the same time.
--- a/turnward/gateway/borrowing.py
+++ b/turnward/gateway/borrowing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The borrower's side of loans: which peers are asked, for how many tokens, and what they lend."""
+"""The borrower's side of loans: loan requests to peers, and the tokens that they lend."""
 
 from collections.abc import Callable
 
@@ -63,7 +63,9 @@
                 request = self._loan_request(account)
                 if request is None:
                     return
-                self._add_loan(account, address, request, await self.lenders.ask(address, request))
+                self._add_loan(
+                    account, address, request, await self.lenders.request_loan(address, request)
+                )
         finally:
             account.borrowing = False
 
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -50,7 +50,7 @@
 #: Time between two classifications of the engines; peers report their measurements as often.
 _CLASSIFY_INTERVAL_S = 0.25
 #: Cost of any prompt on a very slow engine.
-_COST_OF_CRAWLING_MS = 200.0
+_COST_OF_VERY_SLOW_MS = 200.0
 #: Number and share of a pool's entries that must be missing at once to count as lapsed because of
 #: the store; releases and scaling remove entries one by one.
 _MIN_LAPSED = 2
@@ -204,11 +204,11 @@
         self.on_speed_class: Callable[[EndpointRecord, EventGaps, EventGaps], None]
         self.on_speed_class = _ignore_change
         self._dialect = dialect or Dialect()
-        #: Called with the record, the reason and the answer's headers when an endpoint's feedback
+        #: Called with the record, the reason and the response's headers when an endpoint's feedback
         #: makes it unavailable.
         self.on_feedback: Callable[[EndpointRecord, UnavailableReason, HeaderList], None]
         self.on_feedback = _ignore_change
-        #: Called with the record, the limit and the answer's headers when an endpoint changes its
+        #: Called with the record, the limit and the response's headers when an endpoint changes its
         #: rate limit; the limit is None when it is lifted.
         self.on_rate_limit: Callable[[EndpointRecord, float | None, HeaderList], None]
         self.on_rate_limit = _ignore_change
@@ -221,7 +221,7 @@
         An endpoint restarted under the same id gets a new record, since failures, backoff and
         cached prompt parts belong to the earlier process.
 
-        ``store_was_unavailable`` tells that the store was unreachable until just now.
+        ``store_was_unavailable`` is set if the store was unreachable until now.
         """
         retained = self._retained_incarnations(entries, store_was_unavailable)
         for record in list(self._records.values()):
@@ -304,7 +304,7 @@
             record.availability.entry_draining = entry.leaving
 
     def _apply_feedback(self, record: EndpointRecord, status: int, headers: HeaderList) -> None:
-        """Apply the feedback in the head of any answer of an endpoint."""
+        """Apply the feedback in the head of any response of an endpoint."""
         feedback = parse_feedback(status, headers, self._dialect)
         if feedback is None:
             return
@@ -318,7 +318,7 @@
             self.on_rate_limit(record, feedback.limit_per_s, headers)
 
     def note_success(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
-        """Process the head of a successful answer; one without a rate limit may lift the limit.
+        """Process the head of a successful response; one without a rate limit may lift the limit.
 
         Failures lift no limit, since they may be generated before the endpoint sets its headers.
         """
@@ -372,7 +372,7 @@
         return [_load_of(record, now_s) for record in self._records.values() if record.in_flight]
 
     def has_other(self, pool: str, excluded: set[str]) -> bool:
-        """Tell whether an endpoint outside ``excluded`` accepts requests."""
+        """Return whether an endpoint outside ``excluded`` accepts requests."""
         return bool(self._candidates(pool, excluded))
 
     def _candidates(self, pool: str, excluded: set[str]) -> list[EndpointRecord]:
@@ -391,19 +391,19 @@
         return [record for record in candidates if self._is_warm_enough(record, traits)]
 
     def _is_present(self, record: EndpointRecord, now_s: float) -> bool:
-        """Tell whether an endpoint has an entry, or may regain it, and its zone is not drained."""
+        """Return whether an endpoint has an entry or may regain it, and its zone is not drained."""
         if record.entry.zone in self._drained:
             return False
         return record.lapsed_s is None or record.may_return(now_s)
 
     def _is_within_limit(self, record: EndpointRecord) -> bool:
-        """Tell whether the endpoint's rate limit lets this router send a request now."""
+        """Return whether the endpoint's rate limit lets this router send a request now."""
         if self._limits is None or not self._limits.is_limited(record.incarnation):
             return True
         return not record.opening and self._limits.available_in_s(record.incarnation) <= 0
 
     def _is_warm_enough(self, record: EndpointRecord, traits: WarmUpTraits) -> bool:
-        """Tell whether the endpoint's warm-up state lets this router send a request now."""
+        """Return whether the endpoint's warm-up state lets this router send a request now."""
         if record.warm_up.ramp_finished(self._shares.members):
             return True
         allowance = self._shares.allowance(record.endpoint_id, traits.requests_per_s)
@@ -586,7 +586,7 @@
 def _speed_cost_ms(prompt: Prompt, speed_class: SpeedClass) -> float:
     """Return what the speed class of an engine adds to the cost of a prompt."""
     if speed_class is SpeedClass.CRAWLING:
-        return _COST_OF_CRAWLING_MS
+        return _COST_OF_VERY_SLOW_MS
     if prompt.tokens >= _LONG_PROMPT_TOKENS:
         return _COST_OF_LONG_ON_SLOWER_MS if speed_class is SpeedClass.SLOWER else 0.0
     return _COST_OF_SHORT_BESIDE_LONG_MS if speed_class is SpeedClass.USUAL else 0.0
--- a/turnward/gateway/end_reserve.py
+++ b/turnward/gateway/end_reserve.py
@@ -76,7 +76,7 @@
         return remaining if remaining < 0 else max(0, remaining - self.reserved_tokens(row))
 
     def admit_request(self, row: AccountRow, tokens: int, now_s: float) -> bool:
-        """Tell whether a request may be served from the reserve, other tokens being used up."""
+        """Return whether a request may be served from the reserve, other tokens being used up."""
         remaining = min(self.reserved_tokens(row), ungranted_tokens(row))
         if remaining < tokens:
             return False
--- a/turnward/gateway/endpoint_record.py
+++ b/turnward/gateway/endpoint_record.py
@@ -38,7 +38,7 @@
     warm_up : WarmUp
         Warm-up state of the endpoint.
     on_head : callable
-        Called with the record, status and headers of each answer of the endpoint.
+        Called with the record, status and headers of each response of the endpoint.
 
     Attributes
     ----------
@@ -107,7 +107,7 @@
         return self.entry.endpoint_id
 
     def matches_entry(self, entry: EndpointEntry) -> bool:
-        """Tell whether an entry belongs to the same process as this record."""
+        """Return whether an entry belongs to the same process as this record."""
         return entry.incarnation == self.incarnation and entry.address == self.entry.address
 
     def remember(self, prompt: Prompt, now_s: float) -> None:
@@ -134,5 +134,5 @@
             self.lapsed_s = now_s
 
     def may_return(self, now_s: float) -> bool:
-        """Tell whether its lapsed entry may still return."""
+        """Return whether its lapsed entry may still return."""
         return self.lapsed_s is not None and now_s - self.lapsed_s < _LAPSE_GRACE_S
--- a/turnward/gateway/engine_speed.py
+++ b/turnward/gateway/engine_speed.py
@@ -32,8 +32,8 @@
 _SLOWER_RATIO = 1.18
 _NOT_SLOWER_RATIO = 1.08
 #: The same for a very slow endpoint, which is probably faulty.
-_CRAWLING_RATIO = 2.0
-_NOT_CRAWLING_RATIO = 1.6
+_VERY_SLOW_RATIO = 2.0
+_NOT_VERY_SLOW_RATIO = 1.6
 #: Share of the pause target that held-up gaps must exceed for an endpoint to stay slower.
 _STAY_SLOWER_SHARE = 0.7
 
@@ -103,8 +103,8 @@
     if not gaps.quiet_gap_ms or not usual.quiet_gap_ms:
         return SpeedClass.USUAL
     ratio = gaps.quiet_gap_ms / usual.quiet_gap_ms
-    was_crawling = current is SpeedClass.CRAWLING
-    if ratio >= (_NOT_CRAWLING_RATIO if was_crawling else _CRAWLING_RATIO):
+    was_very_slow = current is SpeedClass.CRAWLING
+    if ratio >= (_NOT_VERY_SLOW_RATIO if was_very_slow else _VERY_SLOW_RATIO):
         return SpeedClass.CRAWLING
     was_usual = current is SpeedClass.USUAL
     late = ratio * usual.held_up_gap_ms > pause_target_ms * (
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Exchange of endpoint feedback among routers.
 
-An endpoint tells each router separately that it drains or asks for backoff, so every router of a
+An endpoint announces draining and backoff to each router separately, so every router of a
 fleet would send it one useless request to find out. Feedback received from another router is
 advisory: the endpoint is deprioritized, but still chosen if no other is left, because the backoff
-was asked of that other router only.
+was requested of that other router only.
 """
 
 from collections import OrderedDict
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -514,7 +514,7 @@
             self._fail(502, reason)
 
     def may_retry_error(self) -> bool:
-        """Tell whether a request that got an error may be retried."""
+        """Return whether a request that got an error may be retried."""
         return self._no_retry_reason(is_retry=True, ran=True) is None
 
     def retry_after_error(self, attempt: "EndpointAttempt", status: int) -> bool:
@@ -528,7 +528,7 @@
         return True
 
     def _may_retry(self, is_retry: bool, ran: bool) -> bool:
-        """Tell whether another endpoint may be tried; charge the retry budget and tokens if so."""
+        """Return whether another endpoint may be tried, and then charge retry budget and tokens."""
         no_retry_reason = self._no_retry_reason(is_retry, ran)
         if no_retry_reason is None and is_retry:
             no_retry_reason = self._charge_retry(ran)
@@ -647,7 +647,7 @@
         self._request.write(data)
 
     def may_continue_with(self, first_id: bytes | None) -> bool:
-        """Tell whether an event may follow the last one forwarded."""
+        """Return whether an event may follow the last one forwarded."""
         return self._progress.may_continue_with(first_id)
 
     def note_events(self, count: int, last_id: bytes | None) -> None:
--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -48,8 +48,8 @@
         ]
         return sorted(offers, key=lambda offer: -offer[1])
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
         body = await self._call(
             address, LOANS_PATH, msgspec.msgpack.encode(request), _LOAN_TIMEOUT_S
         )
@@ -91,9 +91,9 @@
             if self._empty_until_s.get((workspace, address), 0.0) <= now_s
         ]
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
-        tokens = await self._peers.ask(address, request)
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
+        tokens = await self._peers.request_loan(address, request)
         if not tokens:
             self._empty_until_s[request.workspace, address] = self._clock() + _EMPTY_BACKOFF_S
         return tokens
--- a/turnward/gateway/loans.py
+++ b/turnward/gateway/loans.py
@@ -107,7 +107,7 @@
         """Return address and surplus tokens of each peer that has some, largest surplus first."""
 
     @abstractmethod
-    async def ask(self, address: str, request: LoanAsk) -> int:
+    async def request_loan(self, address: str, request: LoanAsk) -> int:
         """Return the tokens that a peer lends; 0 if it lends none or did not respond."""
 
 
@@ -118,6 +118,6 @@
         """See ``LenderBase.surplus``."""
         return []
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
         return 0
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -24,9 +24,9 @@
 ]
 
 #: Time after which the load of a silent peer no longer counts.
-_LOAD_LIFE_S = 1.0
+_LOAD_LIFETIME_S = 1.0
 #: Time after which a silent peer no longer counts as live.
-_LIFE_S = 2.5
+_PEER_LIFETIME_S = 2.5
 #: Layout version of the messages between routers; incremented at each change other than appending
 #: fields.
 DIGEST_LAYOUT = 6
@@ -249,12 +249,12 @@
 
     def live(self) -> list[Peer]:
         """Return the peers from which a digest was received lately."""
-        since_s = self._clock() - _LIFE_S
+        since_s = self._clock() - _PEER_LIFETIME_S
         return [peer for peer in self._peers.values() if (peer.received_s or -1e9) >= since_s]
 
     def loads(self) -> dict[str, EndpointLoad]:
         """Return the sum of the loads of all peers, by endpoint."""
-        since_s = self._clock() - _LOAD_LIFE_S
+        since_s = self._clock() - _LOAD_LIFETIME_S
         recent_loads = [
             peer.digest.loads
             for peer in self._peers.values()
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -386,13 +386,13 @@
         else:
             request.answer(404, [])
 
-    def _lend(self, request: InboundRequest, ask: LoanAsk) -> None:
+    def _lend(self, request: InboundRequest, loan_request: LoanAsk) -> None:
         """Answer a peer's loan request."""
-        if not ask.for_request:
-            loan = Loan(self._accounts.lend(ask))
+        if not loan_request.for_request:
+            loan = Loan(self._accounts.lend(loan_request))
             request.answer(200, [], msgspec.msgpack.encode(loan))
             return
-        pending_loan = self._accounts.lend_for_request(ask)
+        pending_loan = self._accounts.lend_for_request(loan_request)
         request.on_disconnect = pending_loan.cancel
 
         def respond(loan: Loan) -> None:
--- a/turnward/gateway/prepaid.py
+++ b/turnward/gateway/prepaid.py
@@ -201,7 +201,7 @@
         return self._reserve_locally(workspace, tokens, priority)
 
     def _holds(self, workspace: str) -> bool:
-        """Tell whether this router holds tokens of a workspace, and update the ledger accordingly.
+        """Return whether this router holds tokens of a workspace, and update the ledger to match.
 
         The ledger is not changed until the membership has settled, as tokens would move back and
         forth between routers otherwise.
@@ -268,16 +268,16 @@
         return refusal
 
     def _admit_from_reserve(self, account: WorkspaceAccount, tokens: int) -> bool:
-        """Tell whether a request may be served from the end reserve."""
+        """Return whether a request may be served from the end reserve."""
         if self._store_unreachable:
             return False
         now_s = self._reactor.seconds()
         return account.end_reserve.admit_request(account.row, tokens, now_s)
 
     def _is_withheld(self, account: WorkspaceAccount, tokens: int, priority: int) -> bool:
-        """Tell whether a request would use tokens withheld for more urgent ones."""
+        """Return whether a request would use tokens withheld for more urgent ones."""
         withheld_share = min(_MAX_WITHHELD_SHARE, self._withheld_share_per_priority * priority)
-        withheld = withheld_share * account.free_at_last_contact
+        withheld = withheld_share * account.free_tokens_when_reachable
         if withheld <= 0:
             return False
         available = self.ledger.free_tokens(account.workspace)
@@ -332,8 +332,10 @@
         waiter = WaitingRequest(tokens)
         partial = self._reserve_free_tokens(workspace)
         required = tokens - (partial.tokens if partial is not None else 0)
-        ask = LoanAsk(workspace, required, required + ahead_tokens, priority, for_request=True)
-        done = defer.ensureDeferred(self._borrow_for(account, waiter, ask, partial))
+        loan_request = LoanAsk(
+            workspace, required, required + ahead_tokens, priority, for_request=True
+        )
+        done = defer.ensureDeferred(self._borrow_for(account, waiter, loan_request, partial))
         done.addErrback(self._on_failure, workspace)
         return waiter.deferred
 
@@ -346,14 +348,14 @@
         self,
         account: WorkspaceAccount,
         waiter: WaitingRequest,
-        ask: LoanAsk,
+        loan_request: LoanAsk,
         partial: Reservation | None,
     ) -> None:
         """Serve one request with a holder's loan and the tokens already reserved for it.
 
         If no holder lends, the request waits for the store.
         """
-        loan = await self.holder_client.borrow(ask)
+        loan = await self.holder_client.borrow(loan_request)
         if partial is not None:
             self.ledger.settle(partial, 0)
         if loan.tokens > 0:
@@ -370,7 +372,7 @@
         self._enqueue(account, waiter)
         self.schedule_update(account.workspace)
 
-    def lend_for_request(self, ask: LoanAsk) -> defer.Deferred:
+    def lend_for_request(self, loan_request: LoanAsk) -> defer.Deferred:
         """Return the tokens for a peer's request, reserved like those of an own request.
 
         The deferred fires with a ``Loan``. Nothing is lent once it has been cancelled.
@@ -379,25 +381,29 @@
 
         def decide(answer) -> None:
             if not lending.called:
-                lending.callback(self._loan_from(ask, answer))
+                lending.callback(self._loan_from(loan_request, answer))
             elif isinstance(answer, Reservation):
                 self.settle(answer, 0)
 
-        answer = self._reserve_locally(ask.workspace, max(1, ask.required_tokens), ask.priority)
+        answer = self._reserve_locally(
+            loan_request.workspace, max(1, loan_request.required_tokens), loan_request.priority
+        )
         if isinstance(answer, defer.Deferred):
             answer.addCallback(decide)
         else:
             decide(answer)
         return lending
 
-    def _loan_from(self, ask: LoanAsk, answer: Reservation | BudgetRefusal) -> Loan:
+    def _loan_from(self, loan_request: LoanAsk, answer: Reservation | BudgetRefusal) -> Loan:
         """Return a loan of reserved and of surplus tokens; both count as spent here."""
         if isinstance(answer, BudgetRefusal):
             return Loan(0, exhausted=answer is BudgetRefusal.EXHAUSTED)
         self.ledger.settle(answer, answer.tokens)
-        self._log_lent(ask.workspace, answer.tokens)
-        surplus_ask = LoanAsk(ask.workspace, 0, ask.desired_tokens - ask.required_tokens)
-        return Loan(answer.tokens + self.lend(surplus_ask))
+        self._log_lent(loan_request.workspace, answer.tokens)
+        surplus_request = LoanAsk(
+            loan_request.workspace, 0, loan_request.desired_tokens - loan_request.required_tokens
+        )
+        return Loan(answer.tokens + self.lend(surplus_request))
 
     def accept_return(self, returned: LoanReturn) -> None:
         """Add the tokens that a peer had borrowed and returns unused."""
@@ -556,7 +562,7 @@
         if self._store_unreachable:
             self._mark_store_reachable()
         for workspace, account in self._accounts.items():
-            account.free_at_last_contact = self.ledger.free_tokens(workspace)
+            account.free_tokens_when_reachable = self.ledger.free_tokens(workspace)
 
     def _update_done(self, workspace: str, account: WorkspaceAccount) -> None:
         account.busy = False
@@ -570,7 +576,7 @@
         }
 
     def _has_own_grant(self, workspace: str) -> bool:
-        """Tell whether the row records a grant of this incarnation, which a successor may fold."""
+        """Return whether the row has a grant of this incarnation, which a successor may fold."""
         account = self._accounts.get(workspace)
         borrowed = account.borrowed_tokens if account is not None else 0
         return self.ledger.granted_tokens(workspace) > borrowed
@@ -611,21 +617,21 @@
         await self._refresh(workspace, account)
         if not self._restorer.is_current(account):
             return
-        surplus = self._surplus(workspace)
+        surplus = self._tokens_to_return(workspace)
         if surplus and not account.waiters:
             await self._return_surplus(workspace, account, surplus)
             return
         for _ in range(_MAX_WRITE_ATTEMPTS):
             if not self._restorer.is_current(account):
                 return
-            ask = self._grant_request(workspace, account)
-            if ask is None:
+            request = self._grant_request(workspace, account)
+            if request is None:
                 await self._fold_only(workspace, account)
                 return
-            tokens = self._grantable_tokens(account, ask)
+            tokens = self._grantable_tokens(account, request)
             if tokens <= 0:
                 await self._read(workspace, account)
-                tokens = self._grantable_tokens(account, ask)
+                tokens = self._grantable_tokens(account, request)
                 if tokens <= 0:
                     self.ledger.clear_wanted(workspace)
                     return
@@ -644,7 +650,7 @@
 
     async def _fold_only(self, workspace: str, account: WorkspaceAccount) -> None:
         """Write the fold of earlier incarnations if there is no other change to write it with."""
-        if account.unfolded is not None and not self._holders.all_routers_hold:
+        if account.row_before_fold is not None and not self._holders.all_routers_hold:
             await self._write(workspace, account, 0)
 
     async def _refresh(self, workspace: str, account: WorkspaceAccount) -> None:
@@ -662,7 +668,7 @@
         if account.row is None or stale:
             await self._read(workspace, account)
 
-    def _surplus(self, workspace: str) -> int:
+    def _tokens_to_return(self, workspace: str) -> int:
         if self._stopping:
             return self.ledger.free_tokens(workspace)
         return self.ledger.plan_return(workspace, self._reactor.seconds())
@@ -670,27 +676,31 @@
     def _grant_request(self, workspace: str, account: WorkspaceAccount) -> GrantRequest | None:
         if self._restorer.remaining_wait_s > 0:
             return None
-        ask = self.ledger.plan_grant(workspace, self._reactor.seconds())
+        request = self.ledger.plan_grant(workspace, self._reactor.seconds())
         if self._stopping:
-            ask = None
+            request = None
         waiting = account.waiting_tokens
         shortfall = waiting - max(0, self.ledger.free_tokens(workspace))
         if shortfall <= 0:
-            return ask
-        desired = max(shortfall, ask.desired_tokens if ask is not None else 0)
+            return request
+        desired = max(shortfall, request.desired_tokens if request is not None else 0)
         return GrantRequest(shortfall, desired)
 
-    def _grantable_tokens(self, account: WorkspaceAccount, ask: GrantRequest) -> int:
+    def _grantable_tokens(self, account: WorkspaceAccount, request: GrantRequest) -> int:
         if account.all_from_reserve:
             remaining = ungranted_tokens(account.row)
-            return min(ask.required_tokens, remaining) if remaining >= ask.required_tokens else 0
+            return (
+                min(request.required_tokens, remaining)
+                if remaining >= request.required_tokens
+                else 0
+            )
         remaining = account.end_reserve.available_tokens(account.row)
         shared = int(remaining * self.ledger.rule.share)
-        tokens = min(ask.desired_tokens, max(ask.required_tokens, shared))
+        tokens = min(request.desired_tokens, max(request.required_tokens, shared))
         if tokens <= remaining:
             return tokens
         # The remaining tokens serve some of the waiting requests, if not all.
-        return max(0, remaining) if ask.required_tokens else 0
+        return max(0, remaining) if request.required_tokens else 0
 
     async def _return_surplus(
         self, workspace: str, account: WorkspaceAccount, surplus: int
@@ -726,7 +736,7 @@
             stored = decode_account(row)
             limited = with_limit(stored, *account.limit)
             account.row = self._fold(workspace, limited)
-            account.unfolded = limited if account.row is not limited else None
+            account.row_before_fold = limited if account.row is not limited else None
             account.version = 0 if row.gone else row.version
             self._restorer.observe_row(account, stored, row)
         self._observe(workspace, account)
@@ -769,9 +779,9 @@
             account.unresolved = (delta_tokens, wanted)
             self._log.failure("prepaid.answer_lost", workspace=workspace, tokens=delta_tokens)
             raise
-        if account.unfolded is not None:
-            self._log_fold(workspace, account.unfolded, account.row)
-            account.unfolded = None
+        if account.row_before_fold is not None:
+            self._log_fold(workspace, account.row_before_fold, account.row)
+            account.row_before_fold = None
         account.row = wanted
         account.version = version
         self._announce_written(workspace, version, wanted)
@@ -804,7 +814,7 @@
         return fold_predecessors(row, self._node, self._incarnation, bounds)
 
     async def _resolve(self, workspace: str, account: WorkspaceAccount) -> None:
-        """Determine the outcome of a write whose answer was lost.
+        """Determine the outcome of a write whose response was lost.
 
         The write may still take effect as long as its condition holds. A write that changes
         nothing is therefore sent under the same condition. Once either has succeeded, the lost
@@ -865,16 +875,18 @@
         offers = [offer for offer in offers if offer.tokens >= self._loan_rule.min_offer_tokens]
         return sorted(offers, key=lambda offer: -offer.tokens)
 
-    def lend(self, ask: LoanAsk) -> int:
+    def lend(self, loan_request: LoanAsk) -> int:
         """Lend tokens to a peer; they count as spent here from now on."""
-        tokens = min(max(0, ask.desired_tokens), self._lendable_tokens(ask.workspace))
+        tokens = min(
+            max(0, loan_request.desired_tokens), self._lendable_tokens(loan_request.workspace)
+        )
         if tokens <= 0:
             return 0
-        reservation = self._try_reserve(ask.workspace, tokens, first_try=False)
+        reservation = self._try_reserve(loan_request.workspace, tokens, first_try=False)
         if reservation is None:
             return 0
         self.ledger.settle(reservation, tokens)
-        self._log_lent(ask.workspace, tokens)
+        self._log_lent(loan_request.workspace, tokens)
         return tokens
 
     def _log_lent(self, workspace: str, tokens: int) -> None:
@@ -918,7 +930,7 @@
         return BudgetRefusal.UNREACHABLE if self._store_unreachable else BudgetRefusal.EXHAUSTED
 
     def _store_is_short(self, account: WorkspaceAccount, workspace: str) -> bool:
-        """Tell whether the store can't grant the tokens that waiting requests need."""
+        """Return whether the store can't grant the tokens that waiting requests need."""
         if account.row is None:
             return False
         waiting = account.waiting_tokens
@@ -949,13 +961,13 @@
             self._mark_store_unreachable()
 
     def _cannot_be_served(self, account: WorkspaceAccount, waiter: WaitingRequest) -> bool:
-        """Tell whether a waiting request can no longer be served."""
+        """Return whether a waiting request can no longer be served."""
         if waiter.from_reserve:
             return ungranted_tokens(account.row) < waiter.tokens
         return self._is_exhausted(account, account.workspace, waiter.tokens)
 
     def _is_exhausted(self, account: WorkspaceAccount, workspace: str, tokens: int) -> bool:
-        """Tell whether the tokens here, in the store and lendable by peers don't suffice."""
+        """Return whether the tokens here, in the store and lendable by peers don't suffice."""
         if account.row is None:
             return False
         free = max(0, self.ledger.free_tokens(workspace))
--- a/turnward/gateway/progress.py
+++ b/turnward/gateway/progress.py
@@ -52,7 +52,7 @@
             self.last_id = last_id
 
     def may_continue_with(self, first_id: bytes | None) -> bool:
-        """Tell whether an event with this id may follow the last forwarded one."""
+        """Return whether an event with this id may follow the last forwarded one."""
         if self.last_id is None or first_id is None:
             return True
         if not self.last_id.isdigit() or not first_id.isdigit():
--- a/turnward/gateway/settings.py
+++ b/turnward/gateway/settings.py
@@ -19,8 +19,10 @@
     ----------
     node : str
         Name of the instance.
-    callers_address, ready_address, metrics_address : str
-        ``IP:port`` to listen on; an empty ``metrics_address`` serves none.
+    callers_address, ready_address : str
+        ``IP:port`` to listen on for requests and for readiness checks.
+    metrics_port, metrics_path : int, str
+        Where metrics are served, on the IP address of ``callers_address``; none with port 0.
     peers_port : int
         Port on which all routers listen for peers, on the IP address of ``callers_address``.
     seeds : list of str
--- a/turnward/gateway/spending.py
+++ b/turnward/gateway/spending.py
@@ -358,7 +358,7 @@
 
     async def _write(self) -> None:
         if len(self._sent) > 1:
-            # An earlier answer was lost. Another unconfirmed report would only tighten the bound.
+            # An earlier response was lost. Another unconfirmed report would only tighten the bound.
             await self._read_back()
         self._number += 1
         self._last_sent_s = self._reactor.seconds()
--- a/turnward/gateway/tests/feedback_simulation.py
+++ b/turnward/gateway/tests/feedback_simulation.py
@@ -37,8 +37,8 @@
     sends : list of Send
         Requests that reached it.
     draining_sent_s, backoffs, limit_sent_s : dict
-        By router process: when it was first told that the endpoint is draining; begin and end of
-        each backoff asked of it; when it was first told of a limit.
+        By router process: when it first got a response that says draining; begin and end of
+        each backoff requested of it; when it first got a response with a limit.
     """
 
     def __init__(self, simulation: "FeedbackSimulation", zone: str = "z"):
@@ -88,7 +88,7 @@
         return headers
 
     def sends_after_draining(self) -> int:
-        """Count requests of routers that had been told before that it is draining."""
+        """Count requests of routers that had got a response that says draining."""
         return sum(
             send.time_s > self.draining_sent_s.get(send.router, 1e9) + IN_FLIGHT_S
             for send in self.sends
@@ -109,7 +109,7 @@
         )
 
     def max_sends_when_limited(self, span_s: float) -> int:
-        """Return the most requests in a sliding window, once a router was told of the limit."""
+        """Return the most requests in a sliding window after the first response with a limit."""
         first_limited_s = min(self.limit_sent_s.values(), default=1e9)
         times = [send.time_s for send in self.sends if send.time_s > first_limited_s + IN_FLIGHT_S]
         return max_in_window(times, span_s)
--- a/turnward/gateway/tests/harness.py
+++ b/turnward/gateway/tests/harness.py
@@ -364,7 +364,7 @@
 
 
 def answered(caller):
-    """Tell whether a complete response has arrived or the connection has closed."""
+    """Return whether a complete response has arrived or the connection has closed."""
     if caller.closed is not None:
         return True
     head, separator, body = caller.received.partition(b"\r\n\r\n")
--- a/turnward/gateway/tests/rollback_simulation.py
+++ b/turnward/gateway/tests/rollback_simulation.py
@@ -62,30 +62,30 @@
             self._copies.append(_TimedCopy(self.now_s, self.harness.rows.copy()))
             del self._copies[:-_MAX_COPIES]
 
-    def roll_back(self, age_s: float, away_s: float = 0.6, written_again_s: float = 0.0) -> None:
+    def roll_back(self, age_s: float, outage_s: float = 0.6, rewrite_delay_s: float = 0.0) -> None:
         """Make the store unavailable for a while and restore it from an older copy.
 
         Parameters
         ----------
         age_s : float
             Age of the copy.
-        away_s : float
+        outage_s : float
             Duration of the outage.
-        written_again_s : float
-            Time after the rollback when operators and endpoints write lost rows again.
+        rewrite_delay_s : float
+            Time from the rollback until operators and endpoints write the lost rows again.
         """
         rows = self.harness.rows
         copies = [timed for timed in self._copies if timed.time_s <= self.now_s - age_s]
         copy = (copies or self._copies[:1])[-1].copy
         lost = {key: row for key, row in rows.copy().rows.items() if key.table in REWRITTEN_TABLES}
         rows.faults.unavailable = True
-        self.run_traffic(away_s)
+        self.run_traffic(outage_s)
         rows.roll_back(copy)
         self._copies.clear()
         rows.faults.unavailable = False
-        self.harness.network.clock.callLater(written_again_s, self._write_again, lost)
+        self.harness.network.clock.callLater(rewrite_delay_s, self._rewrite_lost_rows, lost)
 
-    def _write_again(self, lost: dict) -> None:
+    def _rewrite_lost_rows(self, lost: dict) -> None:
         for key, row in lost.items():
             current = self.harness.rows.get(key)
             if current.version > self.harness.rows.rollback_version:
--- a/turnward/gateway/tests/test_choice.py
+++ b/turnward/gateway/tests/test_choice.py
@@ -30,7 +30,7 @@
         self.closed = True
 
 
-class World:
+class ChoiceSimulation:
     """An endpoint book and its entries, on a clock that the test sets."""
 
     def __init__(self, count=4, slots=8, seed=0, **fields):
@@ -63,178 +63,182 @@
 
 
 def test_requests_are_distributed_over_endpoints():
-    world = World()
+    simulation = ChoiceSimulation()
     for _ in range(8):
-        world.choose().in_flight += 1
-    assert {record.in_flight for record in world.book.all()} == {2}
+        simulation.choose().in_flight += 1
+    assert {record.in_flight for record in simulation.book.all()} == {2}
 
 
 def test_load_of_peers_is_counted():
-    world = World(count=2)
-    world.loads = {"e-0": EndpointLoad("e-0", 30, 0)}
-    assert {world.choose().endpoint_id for _ in range(10)} == {"e-1"}
+    simulation = ChoiceSimulation(count=2)
+    simulation.loads = {"e-0": EndpointLoad("e-0", 30, 0)}
+    assert {simulation.choose().endpoint_id for _ in range(10)} == {"e-1"}
 
 
 def test_routers_agree_on_the_preferred_endpoint_of_a_prompt_part():
-    first, second = World(seed=1), World(seed=2)
+    first, second = ChoiceSimulation(seed=1), ChoiceSimulation(seed=2)
     for number in range(20):
         shared_prompt = prompt(f"{number:x}")
-        preferred = {world.choose(shared_prompt, ENGINE).endpoint_id for world in (first, second)}
+        preferred = {
+            simulation.choose(shared_prompt, ENGINE).endpoint_id for simulation in (first, second)
+        }
         assert len(preferred) == 1
 
 
 def test_preferred_endpoints_are_distributed_over_the_pool():
-    world = World()
+    simulation = ChoiceSimulation()
     preferred = Counter(
-        world.choose(prompt(f"{number:x}"), ENGINE).endpoint_id for number in range(200)
+        simulation.choose(prompt(f"{number:x}"), ENGINE).endpoint_id for number in range(200)
     )
     assert len(preferred) == 4
     assert max(preferred.values()) < 90
 
 
 def test_overloaded_preferred_endpoint_is_not_chosen():
-    world = World()
-    preferred = world.choose(prompt("a"), ENGINE)
+    simulation = ChoiceSimulation()
+    preferred = simulation.choose(prompt("a"), ENGINE)
     preferred.prefill_tokens = 50_000
-    assert world.choose(prompt("a"), ENGINE) is not preferred
+    assert simulation.choose(prompt("a"), ENGINE) is not preferred
 
 
 def test_busy_preferred_endpoint_is_chosen_when_rereading_costs_more():
-    world = World()
+    simulation = ChoiceSimulation()
     shared_prompt = prompt("1")
-    preferred = world.choose(shared_prompt, ENGINE)
+    preferred = simulation.choose(shared_prompt, ENGINE)
     # The backlog takes 200 ms; processing the part elsewhere takes 90 ms, but is weighted higher.
     preferred.prefill_tokens = 10_000
-    assert world.choose(shared_prompt, ENGINE) is preferred
+    assert simulation.choose(shared_prompt, ENGINE) is preferred
 
 
 @pytest.mark.parametrize("certain", [True, False])
 def test_failed_endpoint_backs_off_and_is_probed_by_one_request(certain):
-    world = World(count=2)
-    failing = world.book.get("e-0")
+    simulation = ChoiceSimulation(count=2)
+    failing = simulation.book.get("e-0")
     for _ in range(1 if certain else 2):
-        failing.availability.failed(world.now_s, certain)
-    assert {world.choose().endpoint_id for _ in range(10)} == {"e-1"}
-    world.now_s += 5.0
-    world.book.get("e-1").in_flight = 5
-    assert world.choose() is failing
+        failing.availability.failed(simulation.now_s, certain)
+    assert {simulation.choose().endpoint_id for _ in range(10)} == {"e-1"}
+    simulation.now_s += 5.0
+    simulation.book.get("e-1").in_flight = 5
+    assert simulation.choose() is failing
     failing.in_flight = 1
-    assert world.choose().endpoint_id == "e-1"
+    assert simulation.choose().endpoint_id == "e-1"
     failing.availability.succeeded()
-    assert world.choose() is failing
+    assert simulation.choose() is failing
 
 
 def test_endpoints_in_backoff_are_used_when_there_is_no_other():
-    world = World(count=2)
-    for record in world.book.all():
-        record.availability.failed(world.now_s, certain=True)
-    assert world.choose() is not None
+    simulation = ChoiceSimulation(count=2)
+    for record in simulation.book.all():
+        record.availability.failed(simulation.now_s, certain=True)
+    assert simulation.choose() is not None
 
 
 def test_draining_endpoints_are_never_chosen():
-    world = World(count=2, leaving=True)
-    assert world.choose() is None
+    simulation = ChoiceSimulation(count=2, leaving=True)
+    assert simulation.choose() is None
 
 
 def test_endpoints_already_tried_are_not_chosen():
-    world = World(count=2)
-    assert world.choose(omit={"e-0"}).endpoint_id == "e-1"
-    assert world.choose(omit={"e-0", "e-1"}) is None
+    simulation = ChoiceSimulation(count=2)
+    assert simulation.choose(omit={"e-0"}).endpoint_id == "e-1"
+    assert simulation.choose(omit={"e-0", "e-1"}) is None
 
 
 def test_changed_address_is_a_new_endpoint_and_the_old_connections_close():
-    world = World(count=1)
-    before = world.book.get("e-0")
+    simulation = ChoiceSimulation(count=1)
+    before = simulation.book.get("e-0")
     entry = EndpointEntry(endpoint_id="e-0", pool="pool", address="10.0.0.9:80")
-    world.book.set_entries({"e-0": entry})
+    simulation.book.set_entries({"e-0": entry})
     assert before.pool.closed
-    assert world.book.get("e-0") is not before
+    assert simulation.book.get("e-0") is not before
 
 
 def test_remembered_prompt_parts_are_bounded_and_expire():
-    world = World(count=1)
-    record = world.book.get("e-0")
+    simulation = ChoiceSimulation(count=1)
+    record = simulation.book.get("e-0")
     for number in range(5_000):
-        record.remember(prompt(f"{number:x}"), world.now_s)
+        record.remember(prompt(f"{number:x}"), simulation.now_s)
     assert len(record._parts) <= 1_500
-    assert record.cached_tokens(prompt(f"{4_999:x}"), world.now_s) == 5_000
-    assert record.cached_tokens(prompt(f"{4_999:x}"), world.now_s + 60.0) == 0
+    assert record.cached_tokens(prompt(f"{4_999:x}"), simulation.now_s) == 5_000
+    assert record.cached_tokens(prompt(f"{4_999:x}"), simulation.now_s + 60.0) == 0
 
 
-def chosen_ids(world, times=20):
-    return {world.choose().endpoint_id for _ in range(times)}
+def chosen_ids(simulation, times=20):
+    return {simulation.choose().endpoint_id for _ in range(times)}
 
 
 def test_replaced_endpoint_is_excluded_and_then_a_last_resort():
-    world = World(count=2)
-    world.book.get("e-0").availability.mark_replaced(world.now_s)
-    world.now_s += 60.0
-    assert chosen_ids(world) == {"e-1"}
-    world.book.get("e-1").availability.mark_replaced(world.now_s)
-    assert chosen_ids(world) == {"e-0"}
-    world.now_s += 9.0
-    assert chosen_ids(world) == {"e-0"}
-    world.now_s += 2.0
-    assert chosen_ids(world) == {"e-0", "e-1"}
+    simulation = ChoiceSimulation(count=2)
+    simulation.book.get("e-0").availability.mark_replaced(simulation.now_s)
+    simulation.now_s += 60.0
+    assert chosen_ids(simulation) == {"e-1"}
+    simulation.book.get("e-1").availability.mark_replaced(simulation.now_s)
+    assert chosen_ids(simulation) == {"e-0"}
+    simulation.now_s += 9.0
+    assert chosen_ids(simulation) == {"e-0"}
+    simulation.now_s += 2.0
+    assert chosen_ids(simulation) == {"e-0", "e-1"}
 
 
 def test_no_endpoint_is_chosen_when_all_are_replaced():
-    world = World(count=2)
-    for record in world.book.all():
-        record.availability.mark_replaced(world.now_s)
-    assert world.choose() is None
-    assert world.book.shortage("pool").reason is Reason.NO_ENDPOINT
+    simulation = ChoiceSimulation(count=2)
+    for record in simulation.book.all():
+        record.availability.mark_replaced(simulation.now_s)
+    assert simulation.choose() is None
+    assert simulation.book.shortage("pool").reason is Reason.NO_ENDPOINT
 
 
 # Entries that lapse while the store is away.
 
 
-def omit(world, *numbers, store_was_unavailable=True):
+def omit(simulation, *numbers, store_was_unavailable=True):
     """Set the entries again without those of some endpoints."""
-    kept = {name: entry for name, entry in world.entries.items() if int(name[2:]) not in numbers}
-    world.book.set_entries(kept, store_was_unavailable)
+    kept = {
+        name: entry for name, entry in simulation.entries.items() if int(name[2:]) not in numbers
+    }
+    simulation.book.set_entries(kept, store_was_unavailable)
 
 
 def test_endpoints_whose_entries_lapse_together_stay_in_use_until_the_entries_return():
-    world = World(count=8)
-    omit(world, *range(8))
-    assert len(chosen_ids(world, 60)) == 8
-    world.now_s += 0.8
-    omit(world, *range(4), store_was_unavailable=False)
-    assert len(chosen_ids(world, 60)) == 8
-    world.now_s += 0.5
-    world.book.set_entries(world.entries)
-    world.now_s += 60.0
-    assert len(chosen_ids(world, 60)) == 8
+    simulation = ChoiceSimulation(count=8)
+    omit(simulation, *range(8))
+    assert len(chosen_ids(simulation, 60)) == 8
+    simulation.now_s += 0.8
+    omit(simulation, *range(4), store_was_unavailable=False)
+    assert len(chosen_ids(simulation, 60)) == 8
+    simulation.now_s += 0.5
+    simulation.book.set_entries(simulation.entries)
+    simulation.now_s += 60.0
+    assert len(chosen_ids(simulation, 60)) == 8
 
 
 def test_endpoints_whose_entries_do_not_return_in_time_are_removed():
-    world = World(count=8)
-    omit(world, 0, 1, 2)
-    world.now_s += 1.5
-    assert len(chosen_ids(world, 60)) == 5
-    world.book.drop_lapsed()
-    assert len(world.book.all()) == 5
-    omit(world, 0, 1, 2)
-    assert len(chosen_ids(world, 60)) == 5
+    simulation = ChoiceSimulation(count=8)
+    omit(simulation, 0, 1, 2)
+    simulation.now_s += 1.5
+    assert len(chosen_ids(simulation, 60)) == 5
+    simulation.book.drop_lapsed()
+    assert len(simulation.book.all()) == 5
+    omit(simulation, 0, 1, 2)
+    assert len(chosen_ids(simulation, 60)) == 5
 
 
 def test_entries_that_vanish_while_the_store_answers_are_removed_at_once():
-    world = World(count=8)
-    omit(world, 0, 1, 2, store_was_unavailable=False)
-    assert len(chosen_ids(world, 60)) == 5
+    simulation = ChoiceSimulation(count=8)
+    omit(simulation, 0, 1, 2, store_was_unavailable=False)
+    assert len(chosen_ids(simulation, 60)) == 5
 
 
 def test_single_entry_that_vanishes_is_removed_at_once():
-    world = World(count=8)
-    omit(world, 0)
-    assert len(chosen_ids(world, 60)) == 7
+    simulation = ChoiceSimulation(count=8)
+    omit(simulation, 0)
+    assert len(chosen_ids(simulation, 60)) == 7
 
 
 def test_draining_endpoints_whose_entries_vanish_are_removed_at_once():
-    world = World(count=8, leaving=True)
-    omit(world, 0, 1, 2)
-    assert len(world.book.all()) == 5
+    simulation = ChoiceSimulation(count=8, leaving=True)
+    omit(simulation, 0, 1, 2)
+    assert len(simulation.book.all()) == 5
 
 
 # Cold endpoints.
@@ -242,8 +246,8 @@
 WARM_UP = WarmUpTraits(cold_s=3.0, requests_per_s=4.0)
 
 
-class WarmUpWorld(World):
-    """A world of eight routers; ranks below 4 may send requests to cold endpoints."""
+class WarmUpChoiceSimulation(ChoiceSimulation):
+    """A simulation of eight routers; ranks below 4 may send requests to cold endpoints."""
 
     def __init__(self, count=3, warm_up=WARM_UP, rank=0, members_read=True, **fields):
         super().__init__(count=0)
@@ -295,70 +299,72 @@
 
 
 def test_endpoints_known_at_start_are_warm():
-    assert all(times > 10 for times in WarmUpWorld().count_choices().values())
+    assert all(times > 10 for times in WarmUpChoiceSimulation().count_choices().values())
 
 
 @pytest.mark.parametrize("cold_left_s", [0.0, 3.0])
 def test_new_endpoint_counts_as_cold_whether_or_not_its_entry_says_so(cold_left_s):
-    world = WarmUpWorld()
-    world.add(9, cold_left_s=cold_left_s)
-    world.apply_entries()
-    assert world.count_choices()["e-9"] == 1
-    world.now_s += 6.0
-    assert world.count_choices()["e-9"] > 5
+    simulation = WarmUpChoiceSimulation()
+    simulation.add(9, cold_left_s=cold_left_s)
+    simulation.apply_entries()
+    assert simulation.count_choices()["e-9"] == 1
+    simulation.now_s += 6.0
+    assert simulation.count_choices()["e-9"] > 5
 
 
 def test_cold_time_in_the_first_entry_of_an_endpoint_is_respected():
-    assert set(WarmUpWorld(cold_left_s=2.0).count_choices().values()) == {1}
+    assert set(WarmUpChoiceSimulation(cold_left_s=2.0).count_choices().values()) == {1}
 
 
 def test_cold_time_in_a_later_entry_of_an_endpoint_is_respected():
-    world = WarmUpWorld()
-    world.entries["e-1"] = msgspec.structs.replace(world.entries["e-1"], cold_left_s=2.5)
-    world.apply_entries()
-    assert world.count_choices()["e-1"] == 1
+    simulation = WarmUpChoiceSimulation()
+    simulation.entries["e-1"] = msgspec.structs.replace(simulation.entries["e-1"], cold_left_s=2.5)
+    simulation.apply_entries()
+    assert simulation.count_choices()["e-1"] == 1
 
 
 def test_endpoint_keeps_its_warm_up_state_when_its_entry_returns():
-    world = WarmUpWorld()
-    kept = world.entries.pop("e-1")
-    world.apply_entries()
-    world.entries["e-1"] = kept
-    world.apply_entries()
-    assert world.count_choices()["e-1"] > 5
+    simulation = WarmUpChoiceSimulation()
+    kept = simulation.entries.pop("e-1")
+    simulation.apply_entries()
+    simulation.entries["e-1"] = kept
+    simulation.apply_entries()
+    assert simulation.count_choices()["e-1"] > 5
 
 
 def test_endpoints_of_a_zone_no_longer_drained_are_cold():
-    world = WarmUpWorld()
-    world.book.set_drained_zones(frozenset({"zone-1"}))
-    assert world.count_choices()["e-1"] == 0
-    world.book.set_drained_zones(frozenset())
-    assert world.count_choices()["e-1"] == 1
-    assert world.count_choices()["e-2"] > 5
+    simulation = WarmUpChoiceSimulation()
+    simulation.book.set_drained_zones(frozenset({"zone-1"}))
+    assert simulation.count_choices()["e-1"] == 0
+    simulation.book.set_drained_zones(frozenset())
+    assert simulation.count_choices()["e-1"] == 1
+    assert simulation.count_choices()["e-2"] > 5
 
 
-@pytest.mark.parametrize("world", [WarmUpWorld(rank=4), WarmUpWorld(members_read=False)])
-def test_router_without_a_share_sends_nothing_to_a_cold_endpoint(world):
-    world.add(9)
-    world.apply_entries()
-    assert world.count_choices()["e-9"] == 0
+@pytest.mark.parametrize(
+    "simulation", [WarmUpChoiceSimulation(rank=4), WarmUpChoiceSimulation(members_read=False)]
+)
+def test_router_without_a_share_sends_nothing_to_a_cold_endpoint(simulation):
+    simulation.add(9)
+    simulation.apply_entries()
+    assert simulation.count_choices()["e-9"] == 0
 
 
 def test_cold_endpoints_are_not_used_as_a_last_resort():
-    world = WarmUpWorld(rank=4)
-    world.add(9)
+    simulation = WarmUpChoiceSimulation(rank=4)
+    simulation.add(9)
     for number in range(3):
-        del world.entries[f"e-{number}"]
-        world.apply_entries()
-    assert world.choose() is None
-    assert not world.book.has_other("pool", set())
-    shortage = world.book.shortage("pool")
+        del simulation.entries[f"e-{number}"]
+        simulation.apply_entries()
+    assert simulation.choose() is None
+    assert not simulation.book.has_other("pool", set())
+    shortage = simulation.book.shortage("pool")
     assert shortage.reason is Reason.ENDPOINTS_COLD
     assert 2.9 <= shortage.available_in_s <= 3.0
 
 
 def test_pool_without_warm_up_traits_has_no_cold_endpoints():
-    world = WarmUpWorld(warm_up=None, rank=4)
-    world.add(9, cold_left_s=3.0)
-    world.apply_entries()
-    assert world.count_choices()["e-9"] > 5
+    simulation = WarmUpChoiceSimulation(warm_up=None, rank=4)
+    simulation.add(9, cold_left_s=3.0)
+    simulation.apply_entries()
+    assert simulation.count_choices()["e-9"] > 5
--- a/turnward/gateway/tests/test_end_reserve.py
+++ b/turnward/gateway/tests/test_end_reserve.py
@@ -62,9 +62,9 @@
 def test_raised_limit_restarts_the_release():
     reserve = EndReserve(RULE, "x")
     assert len(spend(reserve, 100, 60)) == 10
-    again_s = spend(reserve, 100, 60, used=9_000, from_s=260.0)
-    assert len(again_s) == 10
-    assert again_s[-1] >= 30
+    second_admitted_s = spend(reserve, 100, 60, used=9_000, from_s=260.0)
+    assert len(second_admitted_s) == 10
+    assert second_admitted_s[-1] >= 30
 
 
 @pytest.mark.parametrize("name", ["a", "b", "c", "d"])
--- a/turnward/gateway/tests/test_overlay.py
+++ b/turnward/gateway/tests/test_overlay.py
@@ -95,11 +95,11 @@
 def test_every_router_sees_all_others_at_bounded_cost(size):
     fleet = Fleet(size)
     fleet.run(2.0)
-    loads_seen = [router.others_loads() for router in fleet.routers]
+    visible_loads = [router.others_loads() for router in fleet.routers]
     live = [router.overlay.live_routers for router in fleet.routers]
     assert min(live) >= 0.98 * size
-    assert min(loads_seen) >= 0.95 * (size - 1)
-    assert max(loads_seen) <= size
+    assert min(visible_loads) >= 0.95 * (size - 1)
+    assert max(visible_loads) <= size
     for router in fleet.routers:
         router.sent = router.received = 0
     fleet.run(2.0)
@@ -113,9 +113,9 @@
 def test_few_loads_are_missed_when_datagrams_are_lost():
     fleet = Fleet(86, loss_rate=0.03)
     fleet.run(6.0)
-    loads_seen = [router.others_loads() for router in fleet.routers]
-    assert sum(loads_seen) / len(loads_seen) >= 0.93 * 85
-    assert min(loads_seen) >= 0.5 * 85
+    visible_loads = [router.others_loads() for router in fleet.routers]
+    assert sum(visible_loads) / len(visible_loads) >= 0.93 * 85
+    assert min(visible_loads) >= 0.5 * 85
 
 
 def test_crashed_routers_are_excluded_and_their_members_switch_aggregators():
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -148,17 +148,17 @@
         offers = [offer.tokens for offer in self.other.surplus() if offer.workspace == workspace]
         return [("other", offers[0])] if offers else []
 
-    async def ask(self, address, ask):
+    async def request_loan(self, address, loan_request):
         decided = defer.Deferred()
-        self.pending.append((ask, decided))
+        self.pending.append((loan_request, decided))
         return await decided
 
     def decide(self, outcome):
         """End the oldest request: ``done``, ``lost`` (lent, but unanswered) or ``refused``."""
         if not self.pending:
             return
-        ask, decided = self.pending.pop(0)
-        tokens = self.other.lend(ask) if outcome != "refused" else 0
+        loan_request, decided = self.pending.pop(0)
+        tokens = self.other.lend(loan_request) if outcome != "refused" else 0
         decided.callback(tokens if outcome == "done" else 0)
 
 
@@ -207,8 +207,8 @@
         )
         if previous is not None:
             # Loans requested by the previous incarnation may still be granted, and are lost.
-            for ask, _ in self.lenders[index].pending:
-                self.routers[1 - index].lend(ask)
+            for loan_request, _ in self.lenders[index].pending:
+                self.routers[1 - index].lend(loan_request)
         self.lenders[index] = self.routers[index].lenders = SteppedLenders(self, index)
         self.set_limit(index)
 
@@ -379,18 +379,18 @@
 class KeepsLentTokens(PrepaidAccounts):
     """Broken: does not count lent tokens as spent."""
 
-    def lend(self, ask):
-        return min(ask.desired_tokens, self._lendable_tokens(ask.workspace))
+    def lend(self, loan_request):
+        return min(loan_request.desired_tokens, self._lendable_tokens(loan_request.workspace))
 
 
 class LendsBeyondSpendBound(PrepaidAccounts):
     """Broken: lends all tokens held, regardless of its reports."""
 
-    def lend(self, ask):
-        tokens = min(ask.desired_tokens, self.ledger.free_tokens(ask.workspace))
+    def lend(self, loan_request):
+        tokens = min(loan_request.desired_tokens, self.ledger.free_tokens(loan_request.workspace))
         if tokens <= 0:
             return 0
-        result = self.ledger.reserve(ask.workspace, tokens, self._reactor.seconds(), False)
+        result = self.ledger.reserve(loan_request.workspace, tokens, self._reactor.seconds(), False)
         self.ledger.settle(result.ok, tokens)
         return tokens
 
@@ -420,7 +420,7 @@
 
 
 def is_caught(run_seed, seeds):
-    """Tell whether the checks fail for one of the first seeds, as a broken variant must."""
+    """Return whether the checks fail for one of the first seeds, as a broken variant must."""
 
     def fails(seed):
         try:
--- a/turnward/gateway/tests/test_recovery.py
+++ b/turnward/gateway/tests/test_recovery.py
@@ -47,8 +47,8 @@
     assert len(endpoint.requests) * 8_020 <= 400_000
 
 
-@pytest.mark.parametrize("away_s", [0.5, 6.0, 20.0])
-def test_gateways_serve_again_after_an_outage_longer_than_a_lease(away_s):
+@pytest.mark.parametrize("outage_s", [0.5, 6.0, 20.0])
+def test_gateways_serve_again_after_an_outage_longer_than_a_lease(outage_s):
     """Guards against successors that fail on expired reports and get no tokens."""
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=400_000)
     harness = Harness(
@@ -61,7 +61,7 @@
     assert harness.ask(method=b"POST", body=b"", headers=headers).status == 200
     for machine in harness.machines[:2]:
         machine.kill()
-    harness.network.advance(away_s)
+    harness.network.advance(outage_s)
     started = []
     for index in (0, 1):
         harness.machines[index].restart()
--- a/turnward/gateway/tests/test_store_rollback.py
+++ b/turnward/gateway/tests/test_store_rollback.py
@@ -25,7 +25,7 @@
 def test_endpoint_draining_after_rollback_gets_no_requests():
     simulation = RollbackSimulation(gateways=3)
     simulation.run_traffic(8.0)
-    simulation.roll_back(7.0, away_s=2.5)
+    simulation.roll_back(7.0, outage_s=2.5)
     simulation.run_traffic(0.5)
     draining = simulation.endpoints[0]
     simulation.harness.announce(draining, leaving=True)
@@ -45,7 +45,7 @@
         simulation.harness.announce(draining, leaving=True)
     simulation.run_traffic(2.0)
     requests_before = len(draining.requests)
-    simulation.roll_back(5.0, written_again_s=2.0)
+    simulation.roll_back(5.0, rewrite_delay_s=2.0)
     simulation.run_traffic(4.0)
     assert len(draining.requests) == requests_before
     assert set(simulation.statuses()) == {200}
@@ -66,8 +66,8 @@
     assert len(restored.requests) > requests_before
 
 
-@pytest.mark.parametrize("written_again_s", [0.0, 2.0])
-def test_drained_zone_stays_drained_across_rollback(written_again_s):
+@pytest.mark.parametrize("rewrite_delay_s", [0.0, 2.0])
+def test_drained_zone_stays_drained_across_rollback(rewrite_delay_s):
     simulation = RollbackSimulation(gateways=3)
     for endpoint, zone in zip(
         simulation.endpoints, ("north", "north", "south", "south"), strict=True
@@ -78,7 +78,7 @@
     simulation.run_traffic(2.0)
     north = simulation.endpoints[:2]
     requests_before = [len(endpoint.requests) for endpoint in north]
-    simulation.roll_back(5.0, written_again_s=written_again_s)
+    simulation.roll_back(5.0, rewrite_delay_s=rewrite_delay_s)
     simulation.run_traffic(8.0)
     assert [len(endpoint.requests) for endpoint in north] == requests_before
     simulation.harness.rows.remove("configuration", "drained/north")
@@ -96,7 +96,7 @@
     north = simulation.endpoints[0]
     requests_before = len(north.requests)
     simulation.harness.network.clock.callLater(0.3, simulation.harness.gateway)
-    simulation.roll_back(5.0, away_s=1.5, written_again_s=2.0)
+    simulation.roll_back(5.0, outage_s=1.5, rewrite_delay_s=2.0)
     simulation.run_traffic(5.0)
     assert simulation.harness.gateways[3].ready
     assert len(north.requests) == requests_before
--- a/turnward/gateway/tests/test_warm_up.py
+++ b/turnward/gateway/tests/test_warm_up.py
@@ -26,25 +26,25 @@
 @pytest.mark.parametrize("size", [(7, 2), (86, 12), (300, 6)])
 def test_cold_endpoint_never_receives_more_than_its_rate(size):
     for name, scenario in scenarios(*size):
-        assert run(scenario).most_in_a_second <= stated_limit(scenario), name
+        assert run(scenario).max_per_second <= stated_limit(scenario), name
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_fleets_stay_within_the_bound(seed):
     scenario = random_scenario(seed)
-    assert run(scenario).most_in_a_second <= stated_limit(scenario), scenario
+    assert run(scenario).max_per_second <= stated_limit(scenario), scenario
 
 
 def test_partition_does_not_multiply_shares():
     """Dividing the rate among reachable routers alone exceeds it in a partition."""
     scenario = Scenario(routers=86, endpoints=12, partitioned=0.34)
-    assert run(scenario, ShareOfVisiblePeersStrategy).most_in_a_second > stated_limit(scenario)
-    assert run(scenario).most_in_a_second <= scenario.requests_per_s
+    assert run(scenario, ShareOfVisiblePeersStrategy).max_per_second > stated_limit(scenario)
+    assert run(scenario).max_per_second <= scenario.requests_per_s
 
 
 def test_rate_is_exceeded_when_routers_do_not_know_that_an_endpoint_is_cold():
     scenario = Scenario(routers=86, endpoints=3)
-    assert run(scenario, UninformedStrategy).most_in_a_second > stated_limit(scenario)
+    assert run(scenario, UninformedStrategy).max_per_second > stated_limit(scenario)
 
 
 def test_return_to_full_load_has_no_step():
@@ -72,5 +72,5 @@
 def test_endpoint_with_a_rate_below_one_per_second_gets_one_router():
     scenario = Scenario(routers=20, endpoints=2, requests_per_s=0.5, cold_s=6.0)
     outcome = run(scenario)
-    assert outcome.most_in_a_second == 1
+    assert outcome.max_per_second == 1
     assert outcome.served >= 2
--- a/turnward/gateway/tests/warm_up_simulation.py
+++ b/turnward/gateway/tests/warm_up_simulation.py
@@ -83,7 +83,7 @@
 
     @abstractmethod
     def may_send(self, endpoint: str) -> bool:
-        """Tell whether a request may be sent to a cold endpoint now, and record it if so."""
+        """Return whether a request may be sent to a cold endpoint now, and record it if so."""
 
 
 class ShareStrategy(StrategyBase):
@@ -153,7 +153,7 @@
 
     Attributes
     ----------
-    most_in_a_second : int
+    max_per_second : int
         Most requests that a cold endpoint received in a sliding second.
     served : int
         Requests that the endpoints received in their cold time.
@@ -161,7 +161,7 @@
         Most requests that an endpoint received in 0.2 s shortly after its cold time.
     """
 
-    most_in_a_second: int
+    max_per_second: int
     served: int
     step: int
 
@@ -336,7 +336,7 @@
                 outcome = fleet.run(scenario.cold_s + 1.0)
                 sys.stdout.write(
                     f"| {routers} x {endpoints} | {name} | {strategy.__name__} "
-                    f"| {outcome.most_in_a_second} | {outcome.served} | {outcome.step} "
+                    f"| {outcome.max_per_second} | {outcome.served} | {outcome.step} "
                     f"| {fleet.lease_calls} |\n"
                 )
                 sys.stdout.flush()
@@ -346,7 +346,7 @@
     exceeded = 0
     for seed in range(count):
         scenario = random_scenario(seed)
-        most = Fleet(scenario, ShareStrategy).run(scenario.cold_s + 1.0).most_in_a_second
+        most = Fleet(scenario, ShareStrategy).run(scenario.cold_s + 1.0).max_per_second
         if most > stated_limit(scenario):
             exceeded += 1
             sys.stdout.write(
--- a/turnward/gateway/warm_up.py
+++ b/turnward/gateway/warm_up.py
@@ -111,12 +111,12 @@
         return max(0.0, self.cold_until_s - self._clock())
 
     def ramp_finished(self, members: int) -> bool:
-        """Tell whether the endpoint is warm and all routers may choose it."""
+        """Return whether the endpoint is warm and all routers may choose it."""
         warm_for_s = self._clock() - self.cold_until_s
         return warm_for_s >= _RAMP_STEP_S * members.bit_length()
 
     def permits(self, allowance: Allowance) -> bool:
-        """Tell whether this router may send a request now."""
+        """Return whether this router may send a request now."""
         now_s = self._clock()
         warm_for_s = now_s - self.cold_until_s
         if warm_for_s < 0:
--- a/turnward/gateway/workspace_account.py
+++ b/turnward/gateway/workspace_account.py
@@ -39,7 +39,7 @@
         The workspace's name.
     row : AccountRow or None
         The row as last read, with the grants of earlier incarnations folded.
-    unfolded : AccountRow or None
+    row_before_fold : AccountRow or None
         The row without that fold, until the fold is written; else None.
     version : RowVersion
         The row's version; 0 if there is no row.
@@ -53,7 +53,7 @@
     busy, borrowing, returning : bool
         Whether the grant is being updated, a loan is being requested, or tokens are being
         returned to a holder.
-    free_at_last_contact : int
+    free_tokens_when_reachable : int
         Free tokens when the store was last reached.
     borrowed_tokens : int
         Total of the tokens that peers have lent here or returned; not covered by the own grant.
@@ -62,7 +62,7 @@
     waiters : list of WaitingRequest
         Requests that wait for tokens.
     unresolved : tuple or None
-        A change whose answer was lost: its tokens, and the account it would have written.
+        A change whose response was lost: its tokens, and the account it would have written.
     """
 
     __slots__ = (
@@ -71,12 +71,12 @@
         "busy",
         "end_reserve",
         "era",
-        "free_at_last_contact",
+        "free_tokens_when_reachable",
         "returning",
         "limit",
         "row",
         "short_until_s",
-        "unfolded",
+        "row_before_fold",
         "unresolved",
         "version",
         "waiters",
@@ -87,12 +87,12 @@
         self.workspace = workspace
         self.end_reserve = end_reserve
         self.row: AccountRow | None = None
-        self.unfolded: AccountRow | None = None
+        self.row_before_fold: AccountRow | None = None
         self.version = 0
         self.era = -1
         self.limit = (0, 0)
         self.busy = False
-        self.free_at_last_contact = 0
+        self.free_tokens_when_reachable = 0
         self.borrowed_tokens = 0
         self.borrowing = False
         self.returning = False
