--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -18,7 +18,7 @@
 _ANNOUNCE_S = 5.0
 #: Bounds the size of a message.
 _MAX_UPDATES = 32
-#: Endpoints remembered, so that an update that comes back from peers is not announced again.
+#: Endpoints remembered, so that an update received back from peers is not announced again.
 _MAX_KNOWN = 1_000
 #: A backoff is new only if it ends later than known by more than this, as messages take time.
 _MIN_EXTENSION_S = 0.5
--- a/turnward/gateway/forwarding.py
+++ b/turnward/gateway/forwarding.py
@@ -424,7 +424,7 @@
         return encode_request_head(request.method, request.target, headers)
 
     def _framing(self) -> HeaderList:
-        """Return the headers that frame the body; decided anew for each attempt."""
+        """Return the headers that frame the body; computed for each attempt."""
         request = self._request
         self._chunked_to_endpoint = False
         if request.body_complete:
--- a/turnward/ledger/ledger.py
+++ b/turnward/ledger/ledger.py
@@ -74,7 +74,7 @@
         one router claims beyond what waiting requests need.
     floor_share : float
         Share of the available tokens that is held even without demand, so
-        that a router cut off from the store can still serve requests.
+        that a router disconnected from the store can still serve requests.
     bias_corrected : bool
         See ``DemandMeter``.
     idle_return_s : float
--- a/turnward/store/errors.py
+++ b/turnward/store/errors.py
@@ -17,5 +17,5 @@
 class OutcomeUnknownError(PlatformError):
     """The call was sent without a response: it may have taken effect.
 
-    The caller has to read back what it wrote before it goes on.
+    The caller has to read back what it wrote before it continues.
     """
