--- a/turnward/budgets/__init__.py
+++ b/turnward/budgets/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Prepaid budgets: grants out of the table, reservations, bills."""
+"""Prepaid token budgets: grants from the shared store, reservations and bills."""
 
 from turnward.budgets.billing import Bill, BillBatchResult, BillWriter
 from turnward.budgets.grants import GrantChange, GrantStore
--- a/turnward/budgets/billing.py
+++ b/turnward/budgets/billing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Writes bills, each request once, in batches."""
+"""Writes bills in batches, at most one bill per request."""
 
 from collections import Counter, OrderedDict
 
@@ -22,19 +22,19 @@
 
 __all__ = ["Bill", "BillBatchResult", "BillWriter"]
 
-#: Bills in one transaction; each takes one or two items of the table's limit of 100.
+#: Bills per transaction; each takes one or two of the 100 items that the store allows.
 BATCH_BILLS = 40
 
 
 class Bill(msgspec.Struct, frozen=True):
-    """A bill to be written, and rows that must change with it.
+    """A bill to be written, with the rows that must change in the same transaction.
 
     Attributes
     ----------
     row : BillRow
-        The bill; ``row.incarnation`` names the grant it is drawn on.
+        The bill. It is charged to the grant of ``row.incarnation``.
     extra_writes : tuple of Write
-        Further writes of the same transaction, such as a claim's outcome.
+        Other writes of the same transaction, such as a claim's outcome.
     """
 
     row: BillRow
@@ -47,21 +47,21 @@
 
     @property
     def grant(self) -> str:
-        """Key of the grant row it draws on."""
+        """Key of the row of the grant that the bill is charged to."""
         return grant_key(self.row.incarnation, self.row.budget)
 
 
 class BillBatchResult(msgspec.Struct):
-    """What became of a batch.
+    """Outcome of a flush.
 
     Attributes
     ----------
     written : list of Bill
-        Stand in the table now.
+        Bills that are now stored.
     doubled : list of tuple
-        Bills not written, each with the bill of the same request id that stands.
+        Bills not written, each with the stored bill of the same request id.
     orphaned : list of Bill
-        Not written, since the grant they draw on is closed.
+        Bills not written because the grant that they are charged to is closed.
     """
 
     written: list[Bill] = msgspec.field(default_factory=list)
@@ -70,16 +70,16 @@
 
 
 class BillWriter:
-    """Keeps unwritten bills and writes them; a bill leaves only when it stands in the table.
+    """Queues bills and writes them; a bill stays queued until the outcome of its write is known.
 
-    Not safe for concurrent flushes: one task owns it.
+    Not safe for concurrent flushes: a single task must own it.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     incarnation : str
-        The writer; its row must be live.
+        Incarnation of the router that writes; it must not be fenced.
     """
 
     def __init__(self, table: TableBase, incarnation: str):
@@ -89,84 +89,86 @@
 
     @property
     def pending(self) -> list[Bill]:
-        """Bills not known to stand in the table."""
+        """Bills that are not known to be stored."""
         return list(self._pending.values())
 
     def has_urgent(self) -> bool:
-        """Tell whether a bill waits that others look for, or a whole batch."""
+        """Return whether a full batch, or a bill with extra writes, is queued."""
         return len(self._pending) >= BATCH_BILLS or any(
             bill.extra_writes for bill in self._pending.values()
         )
 
     def add(self, bill: Bill) -> bool:
-        """Queue a bill; False when a bill for the same request waits already."""
+        """Queue a bill; return False if a bill for the same request is already queued."""
         if bill.key in self._pending:
             return False
         self._pending[bill.key] = bill
         return True
 
     async def flush(self) -> BillBatchResult:
-        """Write the waiting bills.
+        """Write the queued bills.
 
         Raises
         ------
         FencedError
-            The incarnation is not live any more; the bills stay queued.
+            The incarnation is fenced; the bills stay queued.
         PlatformUnavailableError
-            The table was not reached; the bills stay queued.
+            The store was unreachable; the bills stay queued.
         """
-        done = BillBatchResult()
-        waiting = self.pending
-        for start in range(0, len(waiting), BATCH_BILLS):
-            await self._flush_batch(waiting[start : start + BATCH_BILLS], done)
-        return done
+        outcome = BillBatchResult()
+        queued = self.pending
+        for start in range(0, len(queued), BATCH_BILLS):
+            await self._flush_batch(queued[start : start + BATCH_BILLS], outcome)
+        return outcome
 
-    async def _flush_batch(self, bills: list[Bill], done: BillBatchResult) -> None:
+    async def _flush_batch(self, bills: list[Bill], outcome: BillBatchResult) -> None:
         while bills:
             try:
                 result = await self._table.transact(self._transaction(bills))
             except OutcomeUnknownError:
-                await self._read_back(bills, done)
+                await self._read_back(bills, outcome)
                 return
             if isinstance(result, Committed):
-                self._finish(bills, done.written)
+                self._dequeue(bills, outcome.written)
                 return
             if router_key(self.incarnation) in result.keys:
                 raise FencedError(f"incarnation {self.incarnation} is fenced")
-            failed = set(result.keys)
-            hit = [bill for bill in bills if failed & {bill.key, bill.grant}]
-            await self._read_back(hit, done)
-            orphaned = [bill for bill in hit if bill.key in self._pending and bill.grant in failed]
-            self._finish(orphaned, done.orphaned)
-            bills = [bill for bill in bills if bill not in hit]
-
-    async def _read_back(self, bills: list[Bill], done: BillBatchResult) -> None:
+            failed_keys = set(result.keys)
+            affected = [bill for bill in bills if failed_keys & {bill.key, bill.grant}]
+            await self._read_back(affected, outcome)
+            orphaned = [
+                bill for bill in affected if bill.key in self._pending and bill.grant in failed_keys
+            ]
+            self._dequeue(orphaned, outcome.orphaned)
+            bills = [bill for bill in bills if bill not in affected]
+
+    async def _read_back(self, bills: list[Bill], outcome: BillBatchResult) -> None:
         rows = await self._table.read([bill.key for bill in bills])
-        ours = [bill for bill in bills if self._is_ours(bill, rows.get(bill.key))]
-        others = [bill for bill in bills if bill.key in rows and bill not in ours]
-        self._finish(ours, done.written)
-        for bill in others:
+        written = [bill for bill in bills if self._is_stored(bill, rows.get(bill.key))]
+        duplicates = [bill for bill in bills if bill.key in rows and bill not in written]
+        self._dequeue(written, outcome.written)
+        for bill in duplicates:
             del self._pending[bill.key]
-            done.duplicates.append((bill, msgspec.convert(rows[bill.key].value, BillRow)))
+            outcome.duplicates.append((bill, msgspec.convert(rows[bill.key].value, BillRow)))
 
-    def _is_ours(self, bill: Bill, row: Row | None) -> bool:
+    def _is_stored(self, bill: Bill, row: Row | None) -> bool:
         return row is not None and row.value == msgspec.to_builtins(bill.row)
 
-    def _finish(self, bills: list[Bill], into: list[Bill]) -> None:
+    def _dequeue(self, bills: list[Bill], target: list[Bill]) -> None:
         for bill in bills:
             self._pending.pop(bill.key, None)
-        into.extend(bills)
+        target.extend(bills)
 
     def _transaction(self, bills: list[Bill]) -> Transaction:
         checks = [live_check(self.incarnation)]
         writes: list[Write] = []
-        drawn: Counter[tuple[str, str]] = Counter()
+        charged_tokens: Counter[tuple[str, str]] = Counter()
         for bill in bills:
             checks.append(Absent(bill.key))
             writes.append(Put(bill.key, msgspec.to_builtins(bill.row)))
             writes.extend(bill.extra_writes)
-            drawn[bill.grant, bill.row.incarnation] += bill.row.tokens
-        for (grant, incarnation), tokens in drawn.items():
+            charged_tokens[bill.grant, bill.row.incarnation] += bill.row.tokens
+        for (grant, incarnation), tokens in charged_tokens.items():
             if tokens:
                 checks.append(FieldIs(grant, "incarnation", incarnation))
                 writes.append(Add(grant, "settled_tokens", tokens))
--- a/turnward/budgets/grants.py
+++ b/turnward/budgets/grants.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Moves tokens between a budget's row and a router's grant row.
 
-Each change names the change before it and carries an id of its own. After a
-lost answer the change is cancelled by a second write under the same check, and
-a read tells which of the two took effect; so a write that is late in the
-network can't surprise anyone.
+Each change has an id and names the change before it. When the outcome of a
+change is unknown, a second write with the same check cancels it, and a read
+shows which of the two took effect. A delayed write can therefore not take
+effect after its change was resolved.
 """
 
 from collections import Counter
@@ -32,20 +32,24 @@
 
 __all__ = ["GrantChange", "GrantStore"]
 
-#: Budgets in one transaction; each takes three items of the table's limit of 100.
+#: Budgets per transaction; each takes three of the 100 items that the store allows.
 BATCH_BUDGETS = 30
 
 
 class GrantChange(msgspec.Struct, frozen=True):
-    """A change of one grant.
+    """A change of the grant of one budget.
 
     Attributes
     ----------
     delta_tokens : int
-        Above 0 to take, below 0 to return.
+        Tokens to acquire (positive) or to return (negative).
     reported_tokens : int
-        Billed tokens that move from the grant row to the budget's
-        ``spent_tokens``, so that other routers see them.
+        Billed tokens to move from the grant row to ``spent_tokens`` of the
+        budget's row, where other routers see them.
+    change_id : str
+        Id of this change.
+    previous_id : str or None
+        Id of the change before it; None if the grant row does not exist yet.
     """
 
     budget: str
@@ -58,17 +62,17 @@
 class GrantStore:
     """The grant rows of one router incarnation.
 
-    Not safe for concurrent calls: one task owns it.
+    Not safe for concurrent calls: a single task must own it.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     incarnation : str
         The router incarnation that owns the rows.
     share : float
-        Largest part of a budget's ungranted tokens one take may claim beyond
-        what waiting requests need.
+        Largest fraction of a budget's ungranted tokens that one change may
+        acquire beyond what waiting requests need.
     """
 
     def __init__(self, table: TableBase, incarnation: str, share: float = 0.25):
@@ -77,51 +81,51 @@
         self._share = share
         self._last_change: dict[str, str] = {}
         self._unresolved: dict[str, GrantChange] = {}
-        self._unfolded_tokens: Counter[str] = Counter()
+        self._unreported_tokens: Counter[str] = Counter()
 
     def record_billed_tokens(self, budget: str, tokens: int) -> None:
-        """Take in that a bill on this incarnation's grant stands in the table."""
-        self._unfolded_tokens[budget] += tokens
+        """Record that a bill charged to this incarnation's grant was stored."""
+        self._unreported_tokens[budget] += tokens
 
     def unreported_tokens(self, budget: str) -> int:
-        """Return billed tokens that the budget's row does not show yet."""
-        return self._unfolded_tokens[budget]
+        """Return the billed tokens that the budget's row does not include yet."""
+        return self._unreported_tokens[budget]
 
     @property
     def unresolved(self) -> list[GrantChange]:
-        """Changes whose outcome is not known yet."""
+        """Changes whose outcome is unknown."""
         return list(self._unresolved.values())
 
     async def read_views(self, budgets: list[str]) -> dict[str, BudgetView]:
-        """Return the budget rows as the table has them."""
+        """Return the stored state of the given budgets; unknown budgets are omitted."""
         rows = await self._table.read([budget_key(budget) for budget in budgets])
         views = {}
         for budget in budgets:
             row = rows.get(budget_key(budget))
             if row:
-                account = msgspec.convert(row.value, BudgetRow)
+                row_value = msgspec.convert(row.value, BudgetRow)
                 views[budget] = BudgetView(
-                    account.limit_tokens, account.ungranted_tokens, account.spent_tokens
+                    row_value.limit_tokens, row_value.ungranted_tokens, row_value.spent_tokens
                 )
         return views
 
-    def plan_acquire(self, asks: dict[str, GrantRequest], views: dict[str, BudgetView]):
-        """Return the changes that the asks and the rows allow."""
+    def plan_acquire(self, requests: dict[str, GrantRequest], views: dict[str, BudgetView]):
+        """Return the changes for the requests that the budgets' ungranted tokens can satisfy."""
         changes = []
-        for budget, ask in asks.items():
+        for budget, request in requests.items():
             if budget not in views or budget in self._unresolved:
                 continue
             ungranted = views[budget].ungranted_tokens
-            shared = int(ungranted * self._share)
-            tokens = min(ask.desired_tokens, max(ask.required_tokens, shared))
-            if ask.required_tokens <= ungranted and tokens > 0:
+            share_tokens = int(ungranted * self._share)
+            tokens = min(request.desired_tokens, max(request.required_tokens, share_tokens))
+            if request.required_tokens <= ungranted and tokens > 0:
                 changes.append(self._change(budget, tokens))
-            elif self._unfolded_tokens[budget]:
+            elif self._unreported_tokens[budget]:
                 changes.append(self._change(budget, 0))
         return changes
 
     def plan_return(self, budget: str, tokens: int) -> GrantChange | None:
-        """Return the change that gives tokens back, or None while one is unresolved."""
+        """Return a change that returns tokens, or None while a change is unresolved."""
         if budget in self._unresolved:
             return None
         return self._change(budget, -tokens)
@@ -129,19 +133,19 @@
     async def apply(self, changes: list[GrantChange]) -> dict[str, int]:
         """Apply changes and return the deltas that took effect, by budget.
 
-        Changes whose answer is lost are kept in ``unresolved``.
+        Changes of unknown outcome are kept in ``unresolved``.
 
         Raises
         ------
         FencedError
-            The incarnation is not live any more.
+            The incarnation is fenced.
         PlatformUnavailableError
-            The table was not reached.
+            The store was unreachable.
         """
-        done: dict[str, int] = {}
+        applied: dict[str, int] = {}
         for start in range(0, len(changes), BATCH_BUDGETS):
-            done.update(await self._apply_batch(changes[start : start + BATCH_BUDGETS]))
-        return done
+            applied.update(await self._apply_batch(changes[start : start + BATCH_BUDGETS]))
+        return applied
 
     async def _apply_batch(self, changes: list[GrantChange]) -> dict[str, int]:
         while changes:
@@ -152,16 +156,16 @@
                 return {}
             if isinstance(result, Committed):
                 for change in changes:
-                    self._finish(change)
+                    self._mark_applied(change)
                 return {change.budget: change.delta_tokens for change in changes}
             self._require_live(result.keys)
-            failed = set(result.keys)
-            changes = [change for change in changes if not failed & self._keys(change.budget)]
+            failed_keys = set(result.keys)
+            changes = [change for change in changes if not failed_keys & self._keys(change.budget)]
         return {}
 
     async def resolve(self) -> dict[str, int]:
-        """Settle changes of unknown outcome; return the deltas, 0 for those cancelled."""
-        settled: dict[str, int] = {}
+        """Resolve changes of unknown outcome; return their deltas, 0 for cancelled changes."""
+        resolved: dict[str, int] = {}
         for change in self.unresolved:
             cancel_id = f"cancel-{change.change_id}"
             await self._cancel(change, cancel_id)
@@ -171,16 +175,16 @@
             if last_change not in (change.change_id, cancel_id):
                 continue
             took_effect = last_change == change.change_id
-            settled[change.budget] = change.delta_tokens if took_effect else 0
+            resolved[change.budget] = change.delta_tokens if took_effect else 0
             if took_effect:
-                self._finish(change)
+                self._mark_applied(change)
             self._last_change[change.budget] = last_change
             del self._unresolved[change.budget]
-        return settled
+        return resolved
 
-    def _finish(self, change: GrantChange) -> None:
+    def _mark_applied(self, change: GrantChange) -> None:
         self._last_change[change.budget] = change.change_id
-        self._unfolded_tokens[change.budget] -= change.reported_tokens
+        self._unreported_tokens[change.budget] -= change.reported_tokens
 
     async def _cancel(self, change: GrantChange, cancel_id: str) -> None:
         key = grant_key(self._incarnation, change.budget)
@@ -196,7 +200,7 @@
             self._require_live(result.keys)
 
     def _change(self, budget: str, delta_tokens: int) -> GrantChange:
-        reported_tokens = self._unfolded_tokens[budget]
+        reported_tokens = self._unreported_tokens[budget]
         previous_id = self._last_change.get(budget)
         return GrantChange(budget, delta_tokens, reported_tokens, new_id(), previous_id)
 
--- a/turnward/budgets/rows.py
+++ b/turnward/budgets/rows.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Rows that budgets keep in the platform's table, and their keys.
+"""Rows of budgets, grants and bills in the shared store, and their keys.
 
 For each budget, ``limit = ungranted + spent + granted of all grant rows``
-holds after every transaction, so what is spent can't pass the limit.
+holds after every transaction, so spending cannot exceed the limit.
 """
 
 import msgspec
@@ -19,17 +19,17 @@
 
 
 class BudgetRow(msgspec.Struct, frozen=True):
-    """A budget's account.
+    """State of a budget.
 
     Attributes
     ----------
     limit_tokens : int
-        The limit that operators set.
+        Limit set by operators.
     ungranted_tokens : int
-        Not yet handed to any router. Below 0 after the limit was lowered
-        under what is granted: that much is still to be recalled.
+        Tokens not granted to any router. Negative if the limit was lowered
+        below the tokens in use: that many must still be recalled.
     spent_tokens : int
-        Billed under grants that are closed.
+        Billed tokens that were moved here from grant rows.
     """
 
     limit_tokens: int
@@ -38,7 +38,7 @@
 
 
 class GrantRow(msgspec.Struct, frozen=True):
-    """What one router incarnation holds of a budget.
+    """Tokens of a budget that are granted to one router incarnation.
 
     Attributes
     ----------
@@ -47,9 +47,9 @@
     settled_tokens : int
         Tokens billed under this grant.
     last_change : str
-        Id of the last change, chosen by its writer.
+        Id of the last change of the row.
     in_doubt_tokens : int
-        Tokens of a fenced router whose use is not proved.
+        Tokens of a fenced router that may or may not have been used.
     """
 
     budget: str
@@ -61,7 +61,7 @@
 
 
 class BillRow(msgspec.Struct, frozen=True):
-    """The one bill of a request; ``run_id`` tells which of its runs is billed."""
+    """The only bill of a request; ``run_id`` is the run that is billed."""
 
     request_id: str
     run_id: str
--- a/turnward/budgets/tests/test_grants.py
+++ b/turnward/budgets/tests/test_grants.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Grants under lost answers, outages and fences."""
+"""Grants under lost responses, store outages and fencing."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return table
 
 
-def take(store, tokens):
+def acquire(store, tokens):
     views = run(store.read_views(["b"]))
     return run(store.apply(store.plan_acquire({"b": GrantRequest(tokens, tokens)}, views)))
 
@@ -29,15 +29,15 @@
 
 def test_takes_of_two_routers_never_pass_the_limit(table):
     stores = [GrantStore(table, "r1"), GrantStore(table, "r2")]
-    taken = sum(take(store, 400).get("b", 0) for store in stores * 3)
-    assert taken == 800
+    acquired = sum(acquire(store, 400).get("b", 0) for store in stores * 3)
+    assert acquired == 800
     assert ungranted(table) == 200
 
 
 def test_stale_view_cannot_take_what_another_took(table):
     first, second = GrantStore(table, "r1"), GrantStore(table, "r2")
     stale = run(second.read_views(["b"]))
-    assert take(first, 900) == {"b": 900}
+    assert acquire(first, 900) == {"b": 900}
     assert run(second.apply(second.plan_acquire({"b": GrantRequest(900, 900)}, stale))) == {}
 
 
@@ -45,9 +45,9 @@
 def test_lost_answer_of_a_take_is_counted_once(table, lost):
     faulty = FaultyTable(table)
     store = GrantStore(faulty, "r1")
-    take(store, 100)
+    acquire(store, 100)
     faulty.lose_answers = lost
-    assert take(store, 200) == {}
+    assert acquire(store, 200) == {}
     assert [change.delta_tokens for change in store.unresolved] == [200]
     assert run(store.resolve()) == {"b": 200}
     assert ungranted(table) == 700
@@ -56,7 +56,7 @@
 def test_late_write_of_a_cancelled_change_has_no_effect(table):
     faulty = FaultyTable(table)
     store = GrantStore(faulty, "r1")
-    take(store, 100)
+    acquire(store, 100)
     views = run(store.read_views(["b"]))
     changes = store.plan_acquire({"b": GrantRequest(200, 200)}, views)
     late_write = store._transaction(changes)
@@ -71,7 +71,7 @@
     store = GrantStore(faulty, "r1")
     faulty.down = True
     with pytest.raises(PlatformUnavailableError):
-        take(store, 100)
+        acquire(store, 100)
     assert ungranted(table) == 1_000
 
 
@@ -79,16 +79,16 @@
     store = GrantStore(table, "r1")
     assert run(RouterRegistry(table).fence("r1", "r2"))
     with pytest.raises(FencedError):
-        take(store, 100)
+        acquire(store, 100)
     assert ungranted(table) == 1_000
 
 
 def test_returned_tokens_are_available_to_other_routers(table):
     store = GrantStore(table, "r1")
-    take(store, 600)
+    acquire(store, 600)
     store.record_billed_tokens("b", 250)
     assert run(store.apply([store.plan_return("b", 350)])) == {"b": -350}
-    row = run(table.read([budget_key("b"), grant_key("r1", "b")]))
-    assert row[budget_key("b")].value["ungranted_tokens"] == 750
-    assert row[budget_key("b")].value["spent_tokens"] == 250
-    assert row[grant_key("r1", "b")].value["granted_tokens"] == 0
+    rows = run(table.read([budget_key("b"), grant_key("r1", "b")]))
+    assert rows[budget_key("b")].value["ungranted_tokens"] == 750
+    assert rows[budget_key("b")].value["spent_tokens"] == 250
+    assert rows[grant_key("r1", "b")].value["granted_tokens"] == 0
