--- a/turnward/claims/__init__.py
+++ b/turnward/claims/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Claims: calls that may not be repeated run at most once."""
+"""Claims, which let calls that must not be repeated run at most once."""
 
 from turnward.claims.pairs import (
     CLAIM_SHARDS,
--- a/turnward/claims/pairs.py
+++ b/turnward/claims/pairs.py
@@ -1,11 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Claims held by two routers, so that a store outage need not stop calls.
-
-The ids fall into shards. The table names for each shard an epoch and two holders.
-A call is sent only after both holders recorded its claim at the same epoch and,
-where the sender reaches the store, the table did too. A holder refuses every epoch
-but its own. A change of holders keeps one: it stops, writes the next epoch, hands
-its claims to the new holder, and goes on. No clock takes part.
+"""Claims held by two routers, so that calls can be sent during a store outage.
+
+Request ids are hashed to shards. For each shard, the store names an epoch and two
+holders. A call is sent only after both holders have recorded its claim at the same
+epoch and, if the sender reaches the store, the store has recorded it as well. A
+holder rejects claims of any epoch but its own. When the holders change, one of them
+stays: it stops serving, writes the next epoch, hands its claims to the new holder,
+and resumes. The protocol does not depend on clocks.
 """
 
 from enum import StrEnum
@@ -29,19 +30,20 @@
 
 
 class ShardRow(msgspec.Struct, frozen=True):
-    """Who holds a shard's claims.
+    """The holders of a shard's claims.
 
     Attributes
     ----------
     epoch : int
-        Rises with each change of holders.
+        Increases with each change of holders.
     holders : tuple of str
-        Two incarnations; the first has the claims and hands them to the second.
+        Two incarnations; the first has the claims and hands them over to the second.
     from_table : bool
-        The first holder starts from the claims in the table, since no holder
-        of the epoch before is left.
+        Whether the first holder starts from the claims in the store, because
+        no holder of the previous epoch remains.
     unknown_before_s : float
-        Claims of ids minted before may be lost (seconds since 1970).
+        Claims of request ids created before this time may be lost, in seconds
+        since 1970.
     """
 
     shard: int
@@ -52,14 +54,18 @@
 
 
 class HeldClaim(msgspec.Struct, frozen=True):
-    """A claim as holders keep it.
+    """A claim as recorded by its holders.
 
     Attributes
     ----------
     key : str
         Key of the claim's row.
+    token : str
+        Unique value that distinguishes this claim from others with the same key.
+    fingerprint : str
+        Digest of the request.
     incarnation : str
-        The router that took it; empty when that is not known.
+        Router that took the claim; empty if unknown.
     """
 
     key: str
@@ -69,7 +75,7 @@
 
 
 class HoldOutcome(StrEnum):
-    """What a holder says to a claim."""
+    """Outcome of asking a holder to record a claim."""
 
     HELD = "held"
     STANDING = "standing"
@@ -77,15 +83,15 @@
 
 
 class HoldResult(msgspec.Struct, frozen=True):
-    """A holder's answer.
+    """A holder's response to a claim.
 
     Attributes
     ----------
     standing : HeldClaim or None
-        The claim that was there before.
+        With STANDING, the existing claim of the same key.
     row : ShardRow or None
-        With STALE, the row that the holder knows, so that a sender cut off
-        from the table learns of a change of holders.
+        With STALE, the row that the holder knows, so that a sender that cannot
+        reach the store learns of a change of holders.
     """
 
     outcome: HoldOutcome
@@ -101,79 +107,79 @@
         self.row: ShardRow | None = None
         self.serving = False
         self.claims: dict[str, HeldClaim] = {}
-        #: Tokens released in this epoch: a claim that was held up on its way may come later.
+        #: Tokens released in this epoch; a delayed claim with such a token is rejected.
         self.released: set[str] = set()
 
 
 class ClaimHolder:
-    """The shards that one process holds: pure decisions."""
+    """The shards that one process holds; performs no input or output."""
 
     def __init__(self):
         self._shards: dict[int, _HeldShard] = {}
 
     def hold(self, shard: int, epoch: int, claim: HeldClaim) -> HoldResult:
-        """Record a claim, or say why not."""
-        held = self._shards.get(shard)
-        if held is None:
+        """Record a claim, or return the reason for rejecting it."""
+        held_shard = self._shards.get(shard)
+        if held_shard is None:
             return HoldResult(HoldOutcome.STALE)
-        if not held.serving or held.epoch != epoch:
-            return HoldResult(HoldOutcome.STALE, row=held.row)
-        if claim.token in held.released:
-            return HoldResult(HoldOutcome.STALE, row=held.row)
-        standing = held.claims.setdefault(claim.key, claim)
-        if standing.token != claim.token:
-            return HoldResult(HoldOutcome.STANDING, standing)
+        if not held_shard.serving or held_shard.epoch != epoch:
+            return HoldResult(HoldOutcome.STALE, row=held_shard.row)
+        if claim.token in held_shard.released:
+            return HoldResult(HoldOutcome.STALE, row=held_shard.row)
+        existing = held_shard.claims.setdefault(claim.key, claim)
+        if existing.token != claim.token:
+            return HoldResult(HoldOutcome.STANDING, existing)
         return HoldResult(HoldOutcome.HELD)
 
     def release(self, shard: int, epoch: int, key: str, token: str) -> bool:
-        """Forget a claim whose call was proved not to have run; False: ask again later.
+        """Remove a claim whose call is known not to have run; False if the caller must retry.
 
-        Like ``hold``, it needs the epoch that is served: during a change the
-        claims are on their way to the next holder, where this one would stay.
+        The epoch must be the one being served. During a change of holders the
+        claims are in transit, so the next holder would keep the claim.
         """
         if not self.serves(shard, epoch):
             return False
-        held = self._shards[shard]
-        held.released.add(token)
-        if key in held.claims and held.claims[key].token == token:
-            del held.claims[key]
+        held_shard = self._shards[shard]
+        held_shard.released.add(token)
+        if key in held_shard.claims and held_shard.claims[key].token == token:
+            del held_shard.claims[key]
         return True
 
     def freeze(self, shard: int) -> tuple[HeldClaim, ...]:
-        """Acknowledge nothing more at this epoch; return the claims to hand over."""
-        held = self._shards[shard]
-        held.serving = False
-        return tuple(held.claims.values())
+        """Stop serving the current epoch and return the claims to hand over."""
+        held_shard = self._shards[shard]
+        held_shard.serving = False
+        return tuple(held_shard.claims.values())
 
     def install(self, row: ShardRow, claims: tuple[HeldClaim, ...]) -> bool:
-        """Begin to serve a row's epoch with the claims handed over; False when it is past."""
-        held = self._shards.setdefault(row.shard, _HeldShard())
-        if row.epoch < held.epoch:
+        """Serve a row's epoch with the claims handed over; False if it is not being served."""
+        held_shard = self._shards.setdefault(row.shard, _HeldShard())
+        if row.epoch < held_shard.epoch:
             return False
-        if row.epoch > held.epoch:
-            held.claims.update({claim.key: claim for claim in claims})
-            held.released.clear()
-            held.epoch = row.epoch
-            held.row = row
-            held.serving = True
-        return held.serving
+        if row.epoch > held_shard.epoch:
+            held_shard.claims.update({claim.key: claim for claim in claims})
+            held_shard.released.clear()
+            held_shard.epoch = row.epoch
+            held_shard.row = row
+            held_shard.serving = True
+        return held_shard.serving
 
     def has_state(self, shard: int, epoch: int) -> bool:
-        """Tell whether this process holds the shard's claims of an epoch."""
-        held = self._shards.get(shard)
-        return held is not None and held.epoch == epoch
+        """Return whether this process holds the shard's claims of an epoch."""
+        held_shard = self._shards.get(shard)
+        return held_shard is not None and held_shard.epoch == epoch
 
     def serves(self, shard: int, epoch: int) -> bool:
-        """Tell whether this process acknowledges claims at an epoch."""
+        """Return whether this process accepts claims at an epoch."""
         return self.has_state(shard, epoch) and self._shards[shard].serving
 
     def count(self) -> int:
-        """Return how many claims are held."""
-        return sum(len(held.claims) for held in self._shards.values())
+        """Return the number of held claims."""
+        return sum(len(held_shard.claims) for held_shard in self._shards.values())
 
 
 def shard_of(key: str) -> int:
-    """Return the shard of a claim's key."""
+    """Return the shard that a claim's key belongs to."""
     return int.from_bytes(blake2b(key.encode(), digest_size=4).digest(), "big") % CLAIM_SHARDS
 
 
--- a/turnward/claims/register.py
+++ b/turnward/claims/register.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Takes claims in the table, many in one transaction, before calls are sent."""
+"""Writes claims to the store in batches, before their calls are sent."""
 
 from collections import deque
 from enum import StrEnum
@@ -25,12 +25,12 @@
 
 __all__ = ["ClaimResult", "ClaimOutcome", "ClaimRegister"]
 
-#: Claims in one transaction.
+#: Claims per transaction.
 BATCH_CLAIMS = 40
 
 
 class ClaimOutcome(StrEnum):
-    """What the table said to a claim."""
+    """Outcome of writing a claim to the store."""
 
     TAKEN = "taken"
     STANDING = "standing"
@@ -40,23 +40,23 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """Outcome of a claim; ``standing`` is the row that was there before."""
+    """Outcome of a claim; ``standing`` is the existing row of the same request id, if any."""
 
     outcome: ClaimOutcome
     standing: ClaimRow | None = None
 
 
 class ClaimRegister:
-    """Claims of one router incarnation.
+    """Queues and writes the claims of one router incarnation.
 
-    Not safe for concurrent flushes: one task owns it.
+    Not safe for concurrent flushes: a single task must own it.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     incarnation : str
-        The writer; its row must be live.
+        Incarnation of the router that writes; it must not be fenced.
     """
 
     def __init__(self, table: TableBase, incarnation: str):
@@ -65,18 +65,18 @@
         self._waiting: deque[tuple[ClaimRow, Deferred]] = deque()
         self._epochs: dict[str, int] = {}
         self._abandoned: dict[str, str] = {}
-        self._kept: set[str] = set()
+        self._protected_tokens: set[str] = set()
 
     @property
     def waiting_count(self) -> int:
-        """How many claims wait for the next flush."""
+        """Number of claims queued for the next flush."""
         return len(self._waiting)
 
     def claim(self, row: ClaimRow, epoch: int = 0) -> Deferred:
-        """Ask for a claim; the deferred gives a ``ClaimResult`` after a flush.
+        """Queue a claim; the deferred fires with a ``ClaimResult`` after a flush.
 
-        ``epoch`` is that of the holders who recorded the claim, 0 when the
-        shard has none; the claim fails when the table has another by then.
+        ``epoch`` is the epoch at which the holders recorded the claim, 0 if
+        the shard has no holders. The claim fails if the stored epoch differs.
         """
         answer: Deferred = Deferred()
         self._epochs[claim_key(row.workspace, row.request_id)] = epoch
@@ -84,7 +84,7 @@
         return answer
 
     async def flush(self) -> None:
-        """Write the waiting claims and answer them."""
+        """Write the queued claims and fire their deferreds."""
         while self._waiting:
             count = min(BATCH_CLAIMS, len(self._waiting))
             batch = [self._waiting.popleft() for _ in range(count)]
@@ -95,7 +95,7 @@
                     self._epochs.pop(key, None)
 
     async def _flush_batch(self, batch) -> None:
-        batch = self._refuse_doubles(batch)
+        batch = self._postpone_duplicates(batch)
         while batch:
             rows = [row for row, _ in batch]
             try:
@@ -106,7 +106,7 @@
                 if router_key(self._incarnation) in result.keys:
                     self._answer(batch, ClaimResult(ClaimOutcome.FENCED))
                     raise FencedError(f"incarnation {self._incarnation} is fenced")
-                batch = await self._answer_standing(batch, set(result.keys))
+                batch = await self._resolve_existing(batch, set(result.keys))
             except OutcomeUnknownError:
                 await self._read_back(batch)
                 return
@@ -114,32 +114,32 @@
                 self._abandon(batch)
                 return
 
-    def _refuse_doubles(self, batch):
-        first, kept = set(), []
+    def _postpone_duplicates(self, batch):
+        seen_keys, accepted = set(), []
         for row, answer in batch:
             key = claim_key(row.workspace, row.request_id)
-            if key in first:
+            if key in seen_keys:
                 self._waiting.append((row, answer))
             else:
-                first.add(key)
-                kept.append((row, answer))
-        return kept
+                seen_keys.add(key)
+                accepted.append((row, answer))
+        return accepted
 
-    async def _answer_standing(self, batch, failed_keys):
+    async def _resolve_existing(self, batch, failed_keys):
         keys = [claim_key(row.workspace, row.request_id) for row, _ in batch]
-        standing = await self._table.read([key for key in keys if key in failed_keys])
-        left = []
+        existing_rows = await self._table.read([key for key in keys if key in failed_keys])
+        remaining = []
         for key, (row, answer) in zip(keys, batch, strict=True):
             if shard_key(shard_of(key)) in failed_keys:
                 answer.callback(ClaimResult(ClaimOutcome.STALE))
             elif key not in failed_keys:
-                left.append((row, answer))
-            elif key in standing:
-                found = msgspec.convert(standing[key].value, ClaimRow)
-                answer.callback(self._judge(row, found))
+                remaining.append((row, answer))
+            elif key in existing_rows:
+                found = msgspec.convert(existing_rows[key].value, ClaimRow)
+                answer.callback(self._result_for(row, found))
             else:
-                left.append((row, answer))
-        return left
+                remaining.append((row, answer))
+        return remaining
 
     async def _read_back(self, batch) -> None:
         keys = [claim_key(row.workspace, row.request_id) for row, _ in batch]
@@ -147,23 +147,23 @@
             found = await self._table.read(keys)
         except PlatformError:
             found = {}
-        lost = []
+        missing = []
         for key, (row, answer) in zip(keys, batch, strict=True):
             if key in found:
-                answer.callback(self._judge(row, msgspec.convert(found[key].value, ClaimRow)))
+                answer.callback(self._result_for(row, msgspec.convert(found[key].value, ClaimRow)))
             else:
-                lost.append((row, answer))
-        self._abandon(lost)
+                missing.append((row, answer))
+        self._abandon(missing)
 
-    def _judge(self, row: ClaimRow, found: ClaimRow) -> ClaimResult:
+    def _result_for(self, row: ClaimRow, found: ClaimRow) -> ClaimResult:
         if found.token == row.token:
             return ClaimResult(ClaimOutcome.TAKEN)
         return ClaimResult(ClaimOutcome.STANDING, found)
 
     def _abandon(self, batch) -> None:
-        """Give claims up; a write of theirs that still arrives is undone later."""
+        """Abandon claims whose write may have failed; those that were stored are removed later."""
         for row, _ in batch:
-            if row.token not in self._kept:
+            if row.token not in self._protected_tokens:
                 self.release(row)
         self._answer(batch, ClaimResult(ClaimOutcome.STORE_UNREACHABLE))
 
@@ -172,37 +172,37 @@
             waiter.callback(answer)
 
     def keep(self, row: ClaimRow) -> None:
-        """Never remove a claim: its call goes out on the word of its holders.
+        """Keep a claim from being removed: its call is sent because its holders recorded it.
 
-        Its row is written with the bill, or by a claim's write that comes late.
+        Its row is written together with the bill, or by a delayed write of the claim.
         """
-        self._kept.add(row.token)
+        self._protected_tokens.add(row.token)
         self._abandoned.pop(claim_key(row.workspace, row.request_id), None)
 
     def release(self, row: ClaimRow) -> None:
-        """Give up a claim whose call was proved not to have run."""
-        self._kept.discard(row.token)
+        """Abandon a claim whose call is known not to have run."""
+        self._protected_tokens.discard(row.token)
         self._abandoned[claim_key(row.workspace, row.request_id)] = row.token
 
     @property
     def abandoned_count(self) -> int:
-        """How many given-up claims are still to be removed."""
+        """Number of abandoned claims that may still be stored."""
         return len(self._abandoned)
 
     async def remove_abandoned(self) -> int:
-        """Remove claims that were given up but stand in the table; return how many."""
+        """Remove abandoned claims from the store and return how many were removed."""
         rows = await self._table.read(list(self._abandoned))
-        released = 0
+        removed = 0
         for key, row in rows.items():
             token = self._abandoned[key]
             if row.value["token"] != token:
                 del self._abandoned[key]
                 continue
-            undo = Transaction((FieldIs(key, "token", token),), (Delete(key),))
-            if isinstance(await self._table.transact(undo), Committed):
+            removal = Transaction((FieldIs(key, "token", token),), (Delete(key),))
+            if isinstance(await self._table.transact(removal), Committed):
                 del self._abandoned[key]
-                released += 1
-        return released
+                removed += 1
+        return removed
 
     def _transaction(self, rows: list[ClaimRow]) -> Transaction:
         checks: dict[str, Check] = {"": live_check(self._incarnation)}
--- a/turnward/claims/rows.py
+++ b/turnward/claims/rows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The claim rows: at most one run of a call that may not be repeated."""
+"""Claim rows in the shared store, which let a call run at most once."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class ClaimState(StrEnum):
-    """How far a claimed call has come."""
+    """State of a claimed call."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -17,7 +17,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """The answer of a finished call, as it is given to retries."""
+    """The response of a finished call, which is returned to retries of it."""
 
     status: int
     content_type: str
@@ -30,11 +30,11 @@
     Attributes
     ----------
     token : str
-        Chosen by the writer; tells its own claim from another's.
+        Unique value that distinguishes this claim from others of the same request id.
     fingerprint : str
-        Digest of the request, so that the same id with another body is refused.
+        Digest of the request, so that a reused id with another body is rejected.
     answer : StoredAnswer or None
-        Set together with the bill.
+        The response; written in the same transaction as the bill.
     """
 
     request_id: str
--- a/turnward/claims/tests/test_pairs.py
+++ b/turnward/claims/tests/test_pairs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Every interleaving of two senders and two changes of holders, over the real holder code."""
+"""Explores every interleaving of two senders and two changes of holders with ``ClaimHolder``."""
 
 import copy
 
@@ -11,19 +11,19 @@
 EPOCHS = {1: ("A", "B"), 2: ("A", "C"), 3: ("C", "D")}
 
 
-def row_of(epoch):
+def row_at(epoch):
     return ShardRow(0, epoch, EPOCHS[epoch])
 
 
 class State:
-    """Holders, senders and the change under way."""
+    """State of the holders, of the senders and of the change of holders."""
 
     def __init__(self):
         self.holders = {name: ClaimHolder() for name in "ABCD"}
         for name in EPOCHS[1]:
-            self.holders[name].install(row_of(1), ())
+            self.holders[name].install(row_at(1), ())
         self.step = 0
-        self.moved = ()
+        self.handed_over = ()
         self.sent = [None, None]
         self.progress = [(0, 0), (0, 0)]
 
@@ -38,93 +38,93 @@
             for name, holder in sorted(self.holders.items())
             for shard in holder._shards.values()
         )
-        return held, self.step, tuple(c.token for c in self.moved), tuple(self.progress)
+        return held, self.step, tuple(c.token for c in self.handed_over), tuple(self.progress)
 
 
 def change_steps(hand_over):
-    """The steps of two changes of holders, each of which may be the last to happen."""
+    """Return the steps of two changes of holders; exploration covers every prefix of them."""
 
-    def begin(first, second, epoch):
+    def change_holders(first, second, epoch):
         def freeze(state):
-            state.moved = state.holders[first].freeze(0) if hand_over else ()
+            state.handed_over = state.holders[first].freeze(0) if hand_over else ()
             if not hand_over:
                 state.holders[first].freeze(0)
 
-        def give(state):
-            state.holders[second].install(row_of(epoch), state.moved)
+        def install_at_new_holder(state):
+            state.holders[second].install(row_at(epoch), state.handed_over)
 
-        def go_on(state):
-            state.holders[first].install(row_of(epoch), state.moved)
+        def resume(state):
+            state.holders[first].install(row_at(epoch), state.handed_over)
 
-        return [freeze, give, go_on]
+        return [freeze, install_at_new_holder, resume]
 
-    return begin("A", "C", 2) + begin("C", "D", 3)
+    return change_holders("A", "C", 2) + change_holders("C", "D", 3)
 
 
-def moves(state, steps):
-    """Yield every next state."""
+def successors(state, steps):
+    """Yield every successor of a state."""
     if state.step < len(steps):
-        after = copy.deepcopy(state)
-        steps[state.step](after)
-        after.step += 1
-        yield after
+        successor = copy.deepcopy(state)
+        steps[state.step](successor)
+        successor.step += 1
+        yield successor
     for sender in (0, 1):
-        epoch, place = state.progress[sender]
+        epoch, position = state.progress[sender]
         if epoch == 0:
             for view in EPOCHS:
-                after = copy.deepcopy(state)
-                after.progress[sender] = (view, 0)
-                yield after
-        elif place < 2:
-            after = copy.deepcopy(state)
+                successor = copy.deepcopy(state)
+                successor.progress[sender] = (view, 0)
+                yield successor
+        elif position < 2:
+            successor = copy.deepcopy(state)
             claim = HeldClaim(KEY, f"token-{sender}", "f")
-            answer = after.holders[EPOCHS[epoch][place]].hold(0, epoch, claim)
+            answer = successor.holders[EPOCHS[epoch][position]].hold(0, epoch, claim)
             if answer.outcome is HoldOutcome.HELD:
-                after.progress[sender] = (epoch, place + 1)
+                successor.progress[sender] = (epoch, position + 1)
             elif answer.outcome is HoldOutcome.STALE:
-                after.progress[sender] = (0, 0)
+                successor.progress[sender] = (0, 0)
             else:
-                after.progress[sender] = (epoch, 9)
-            if after.key() != state.key():
-                yield after
+                successor.progress[sender] = (epoch, 9)
+            if successor.key() != state.key():
+                yield successor
 
 
-def double_runs(hand_over):
-    """Return how many states were seen, and in how many both senders may send."""
+def count_double_runs(hand_over):
+    """Return the number of states, and of those in which both senders may send."""
     steps = change_steps(hand_over)
     first = State()
-    seen, waiting, doubles = {first.key()}, [first], 0
-    while waiting:
-        state = waiting.pop()
-        doubles += all(place == 2 for _, place in state.progress)
-        for after in moves(state, steps):
-            if after.key() not in seen:
-                seen.add(after.key())
-                waiting.append(after)
-    return len(seen), doubles
+    seen_keys, pending, double_count = {first.key()}, [first], 0
+    while pending:
+        state = pending.pop()
+        double_count += all(position == 2 for _, position in state.progress)
+        for successor in successors(state, steps):
+            if successor.key() not in seen_keys:
+                seen_keys.add(successor.key())
+                pending.append(successor)
+    return len(seen_keys), double_count
 
 
 def test_no_interleaving_runs_a_call_twice():
-    states, doubles = double_runs(hand_over=True)
-    print("claim pairs:", states, "states")
-    assert states > 300
-    assert doubles == 0
+    state_count, double_count = count_double_runs(hand_over=True)
+    print("claim pairs:", state_count, "states")
+    assert state_count > 300
+    assert double_count == 0
 
 
 def test_without_the_hand_over_a_call_may_run_twice():
-    assert double_runs(hand_over=False)[1] > 0
+    assert count_double_runs(hand_over=False)[1] > 0
 
 
 @pytest.mark.parametrize("epoch", [0, 2])
 def test_holder_refuses_every_epoch_but_its_own(epoch):
     holder = ClaimHolder()
-    holder.install(row_of(1), ())
+    holder.install(row_at(1), ())
     assert holder.hold(0, epoch, HeldClaim(KEY, "t", "f")).outcome is HoldOutcome.STALE
 
 
 def test_released_claim_may_be_taken_by_another():
     holder = ClaimHolder()
-    holder.install(row_of(1), ())
+    holder.install(row_at(1), ())
     holder.hold(0, 1, HeldClaim(KEY, "t1", "f"))
     assert holder.release(0, 1, KEY, "t2")
     assert holder.hold(0, 1, HeldClaim(KEY, "t3", "f")).outcome is HoldOutcome.STANDING
@@ -134,80 +134,83 @@
 
 def test_claim_that_arrives_after_its_release_is_not_recorded():
     holder = ClaimHolder()
-    holder.install(row_of(1), ())
+    holder.install(row_at(1), ())
     assert holder.release(0, 1, KEY, "t1")
     assert holder.hold(0, 1, HeldClaim(KEY, "t1", "f")).outcome is HoldOutcome.STALE
     assert holder.hold(0, 1, HeldClaim(KEY, "t2", "f")).outcome is HoldOutcome.HELD
 
 
 class ReleasingState:
-    """A claim held by both holders of the first epoch, released while they change."""
+    """A claim of both holders of the first epoch that is released while the holders change."""
 
     def __init__(self):
         self.holders = {name: ClaimHolder() for name in "ABCD"}
         for name in EPOCHS[1]:
-            self.holders[name].install(row_of(1), (HeldClaim(KEY, "t", "f"),))
+            self.holders[name].install(row_at(1), (HeldClaim(KEY, "t", "f"),))
         self.step = 0
-        self.moved = ()
+        self.handed_over = ()
         self.view = 1
-        self.place = 0
+        self.position = 0
 
-    def left(self):
-        """The names of the newest epoch's holders that still have the claim."""
-        newest = 1 + self.step // 3
+    def holders_with_claim(self):
+        """Return the holders of the newest epoch that still have the claim."""
+        newest_epoch = 1 + self.step // 3
         return [
             name
-            for name in EPOCHS[newest]
+            for name in EPOCHS[newest_epoch]
             if name in self.holders and KEY in self.holders[name]._shards[0].claims
         ]
 
 
-def releases(state, steps):
-    """Yield every next state of a change of holders beside a sender's release."""
+def release_successors(state, steps):
+    """Yield every successor when a change of holders runs concurrently with a release."""
     if state.step < len(steps):
-        after = copy.deepcopy(state)
-        steps[state.step](after)
-        after.step += 1
-        yield after
-    if state.place < 2:
-        after = copy.deepcopy(state)
-        if after.holders[EPOCHS[after.view][after.place]].release(0, after.view, KEY, "t"):
-            after.place += 1
+        successor = copy.deepcopy(state)
+        steps[state.step](successor)
+        successor.step += 1
+        yield successor
+    if state.position < 2:
+        successor = copy.deepcopy(state)
+        if successor.holders[EPOCHS[successor.view][successor.position]].release(
+            0, successor.view, KEY, "t"
+        ):
+            successor.position += 1
         else:
-            # Told to come again, the sender reads the newest row first.
-            after.view, after.place = 1 + after.step // 3, 0
-        yield after
+            # A sender that must retry reads the newest row first.
+            successor.view, successor.position = 1 + successor.step // 3, 0
+        yield successor
 
 
-def stuck_claims():
-    """Return in how many ends a released claim stays with the holders."""
+def count_stuck_claims():
+    """Return the number of final states, and of those in which a holder still has the claim."""
     steps = change_steps(hand_over=True)
-    waiting, stuck, ends = [ReleasingState()], 0, 0
+    pending, stuck_count, end_count = [ReleasingState()], 0, 0
     for _ in range(20_000):
-        if not waiting:
+        if not pending:
             break
-        state = waiting.pop()
-        if state.place == 2 and state.step == len(steps):
-            ends += 1
-            stuck += bool(state.left())
+        state = pending.pop()
+        if state.position == 2 and state.step == len(steps):
+            end_count += 1
+            stuck_count += bool(state.holders_with_claim())
             continue
-        # A sender that asks a frozen holder asks again and again: bounded by the change.
-        waiting.extend(
-            after
-            for after in releases(state, steps)
-            if (after.step, after.view, after.place) != (state.step, state.view, state.place)
+        # Retries at a frozen holder do not change the state, so they are not followed.
+        pending.extend(
+            successor
+            for successor in release_successors(state, steps)
+            if (successor.step, successor.view, successor.position)
+            != (state.step, state.view, state.position)
         )
-    return ends, stuck
+    return end_count, stuck_count
 
 
 def test_claim_released_during_a_change_of_holders_is_removed_from_all_holders():
-    ends, stuck = stuck_claims()
-    assert ends >= 8
-    assert stuck == 0
+    end_count, stuck_count = count_stuck_claims()
+    assert end_count >= 8
+    assert stuck_count == 0
 
 
 def test_release_that_any_holder_confirms_leaves_claims_behind(monkeypatch):
-    """The check sees the fault that it is for: bookings were told in_progress for ever."""
+    """The exploration detects claims left behind, whose calls would stay in progress for ever."""
 
     def release_at_any_time(self, shard, epoch, key, token):
         held = self._shards.get(shard)
@@ -216,4 +219,4 @@
         return True
 
     monkeypatch.setattr(ClaimHolder, "release", release_at_any_time)
-    assert stuck_claims()[1] > 0
+    assert count_stuck_claims()[1] > 0
