--- a/turnward/fleet/__init__.py
+++ b/turnward/fleet/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Membership: router rows, fencing, and the choice of buddies."""
+"""Membership of routers: their rows in the store, fencing and the choice of buddies."""
 
 from turnward.fleet.buddies import BUDDY_COUNT, choose_buddies, rendezvous_weight
 from turnward.fleet.errors import FencedError, FleetError
--- a/turnward/fleet/buddies.py
+++ b/turnward/fleet/buddies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Chooses the buddy routers that hold a router's run records.
+"""Chooses the buddies of a router: the routers that hold copies of its run records.
 
 References
 ----------
@@ -12,16 +12,16 @@
 
 __all__ = ["BUDDY_COUNT", "choose_buddies", "rendezvous_weight"]
 
-#: Buddies a router names.
+#: Buddies per router.
 BUDDY_COUNT = 2
 
 
 def choose_buddies(own: RouterRow, rows: list[RouterRow], keep=()) -> tuple[str, ...]:
-    """Return the incarnations to name as buddies, best first.
+    """Return the incarnations of a router's buddies in order of preference.
 
-    Live routers of the same region and another zone come first, one per zone;
-    the buddies in ``keep`` are preferred among equals, so that a choice does
-    not change without need.
+    Live routers of another zone and of the same region come first, at most one
+    per zone. Among equals, those in ``keep`` are preferred, so that buddies do
+    not change needlessly.
     """
     candidates = [
         row for row in rows if row.state is RouterState.LIVE and row.incarnation != own.incarnation
--- a/turnward/fleet/errors.py
+++ b/turnward/fleet/errors.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Errors of the fleet's membership."""
+"""Errors of fleet membership."""
 
 from turnward.errors import TurnwardError
 
@@ -7,8 +7,8 @@
 
 
 class FleetError(TurnwardError):
-    """Base class of errors of membership."""
+    """Base class of membership errors."""
 
 
 class FencedError(FleetError):
-    """This incarnation was fenced: it may write no more and must register anew."""
+    """This incarnation was fenced: its writes are rejected and it must register again."""
--- a/turnward/fleet/registry.py
+++ b/turnward/fleet/registry.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Reads and changes router rows: register, name buddies, leave, fence, close a recovery.
+"""Reads and changes router rows: registration, buddies, removal, fencing and recovery.
 
-Every change takes the next revision of the fleet's log in the same transaction, so
-that a router learns of changes by one read a poll, and reads only the rows that
-changed. Reading all rows at each poll would cost reads in the square of the fleet.
+Every change appends an entry to the fleet's log in the same transaction. A poll
+therefore reads the log's head and, after a change, only the changed rows. Reading
+all rows at each poll would cost a number of reads quadratic in the fleet's size.
 """
 
 import random
@@ -40,24 +40,24 @@
 
 HEAD_KEY = "fleet/head"
 ENTRIES_PREFIX = "fleet/entry/"
-#: Log entries kept; a router further behind reads all rows.
-KEPT_ENTRIES = 500
-_RETRIES = 30
-#: Bounds of the random pause between tries, in seconds.
-FIRST_PAUSE_S = 0.01
-LONGEST_PAUSE_S = 1.0
+#: Retained log entries; a router that is further behind reads all rows.
+RETAINED_ENTRIES = 500
+_MAX_ATTEMPTS = 30
+#: Upper limit of the random pause after the first attempt; doubles with each attempt.
+INITIAL_PAUSE_LIMIT_S = 0.01
+MAX_PAUSE_LIMIT_S = 1.0
 
 
 class RouterRegistry:
-    """The router rows of the table, with a view that follows their log.
+    """The router rows in the store, with a local copy that is updated from their log.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     pause : callable, optional
-        Gives a deferred that fires after so many seconds; writers that contend
-        for the log's head wait a random while between tries.
+        Returns a deferred that fires after the given number of seconds. Writers
+        that contend for the log's head wait for a random time between attempts.
     """
 
     def __init__(self, table: TableBase, pause=None):
@@ -67,32 +67,32 @@
         self._revision: int | None = None
 
     async def rows(self) -> dict[str, RouterRow]:
-        """Return all rows by incarnation, reading only what changed."""
+        """Return all rows by incarnation; only changed rows are read from the store."""
         head = await self._head()
-        if self._revision is None or head - self._revision > KEPT_ENTRIES:
+        if self._revision is None or head - self._revision > RETAINED_ENTRIES:
             await self._read_all(head)
         elif head != self._revision:
             await self._read_changed(head)
         return dict(self._rows)
 
     async def register(self, row: RouterRow) -> None:
-        """Write the row of a new incarnation; repeated after a lost answer."""
+        """Write the row of a new incarnation; may be repeated after an unknown outcome."""
         key = router_key(row.incarnation)
         write = Put(key, msgspec.to_builtins(row))
         try:
             await self._change(row.incarnation, (Absent(key),), (write,))
         except OutcomeUnknownError:
-            # The row, or a late write of it, is found by the next try's check.
+            # If a delayed write stores the row later, the next attempt's check finds it.
             if not await self._table.read([key]):
                 raise
 
     async def set_field(self, incarnation: str, field: str, value) -> None:
-        """Change one field of a live incarnation's own row.
+        """Change one field of the row of a live incarnation.
 
         Raises
         ------
         FencedError
-            The incarnation is not live any more.
+            The incarnation is fenced.
         """
         write = SetField(router_key(incarnation), field, msgspec.to_builtins(value))
         result = await self._change(incarnation, (live_check(incarnation),), (write,))
@@ -100,12 +100,12 @@
             raise FencedError(f"incarnation {incarnation} is fenced")
 
     async def leave(self, incarnation: str) -> None:
-        """Remove the row of an incarnation that has billed and returned everything."""
+        """Remove the row of an incarnation that has written its bills and returned its tokens."""
         write = Delete(router_key(incarnation))
         await self._change(incarnation, (live_check(incarnation),), (write,))
 
     async def fence(self, incarnation: str, recoverer: str) -> bool:
-        """Take the incarnation's right to write; True when ``recoverer`` now has the duty."""
+        """Revoke an incarnation's right to write; True if ``recoverer`` must now recover it."""
         key = router_key(incarnation)
         checks = (live_check(incarnation), live_check(recoverer))
         writes = (
@@ -120,7 +120,7 @@
         return isinstance(result, Committed) or await self._is_recoverer(key, recoverer)
 
     async def take_over(self, incarnation: str, recoverer: str) -> bool:
-        """Take a recovery over from a recoverer that is not live any more."""
+        """Take over a recovery from a recoverer that is no longer live."""
         key = router_key(incarnation)
         row = (await self._table.read([key])).get(key)
         if row is None or row.value["state"] != RouterState.FENCED:
@@ -134,7 +134,7 @@
         return isinstance(result, Committed)
 
     async def close_recovery(self, incarnation: str, in_doubt: bool) -> None:
-        """Remove a fenced row, or keep it as recovered while tokens are in doubt."""
+        """Remove a fenced row, or mark it as recovered if tokens remain in doubt."""
         key = router_key(incarnation)
         write = Delete(key)
         if in_doubt:
@@ -145,14 +145,14 @@
     async def _change(
         self, incarnation: str, checks: tuple[Check, ...], writes: tuple[Write, ...]
     ) -> TransactionResult:
-        """Write under the next revision; tried again while only the revision is in the way."""
-        for attempt in range(_RETRIES):
+        """Write with a new log entry; retried as long as only the log's head conflicts."""
+        for attempt in range(_MAX_ATTEMPTS):
             head = await self._head()
             entry = Put(_entry_key(head + 1), {"incarnation": incarnation})
             log_writes = (
                 Put(HEAD_KEY, {"revision": head + 1}),
                 entry,
-                Delete(_entry_key(head + 1 - KEPT_ENTRIES)),
+                Delete(_entry_key(head + 1 - RETAINED_ENTRIES)),
             )
             check = FieldIs(HEAD_KEY, "revision", head) if head else Absent(HEAD_KEY)
             result = await self._table.transact(
@@ -161,9 +161,11 @@
             if isinstance(result, Committed) or set(result.keys) != {HEAD_KEY}:
                 return result
             if self._pause is not None:
-                longest_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2**attempt)
-                await self._pause(random.uniform(0.0, longest_s))
-        raise PlatformUnavailableError("the fleet's log is contended for", "it is tried again")
+                pause_limit_s = min(MAX_PAUSE_LIMIT_S, INITIAL_PAUSE_LIMIT_S * 2**attempt)
+                await self._pause(random.uniform(0.0, pause_limit_s))
+        raise PlatformUnavailableError(
+            "too many concurrent changes of the fleet's log", "the change will be retried"
+        )
 
     async def _head(self) -> int:
         row = (await self._table.read([HEAD_KEY])).get(HEAD_KEY)
@@ -175,7 +177,9 @@
         self._revision = head
 
     async def _read_changed(self, head: int) -> None:
-        entries = await self._table.scan(ENTRIES_PREFIX, _entry_key(self._revision), KEPT_ENTRIES)
+        entries = await self._table.scan(
+            ENTRIES_PREFIX, _entry_key(self._revision), RETAINED_ENTRIES
+        )
         changed = {entry.value["incarnation"] for entry in entries}
         rows = await self._table.read([router_key(incarnation) for incarnation in changed])
         for incarnation in changed:
--- a/turnward/fleet/rows.py
+++ b/turnward/fleet/rows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The router rows in the platform's table: who is live, and who was fenced."""
+"""Router rows in the shared store: which incarnations are live and which are fenced."""
 
 from enum import StrEnum
 
@@ -20,7 +20,7 @@
 
 
 class RouterState(StrEnum):
-    """States of a router incarnation's row; the row is removed in the end."""
+    """State of a router incarnation, until its row is removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,14 +29,16 @@
 
 
 class RouterRow(msgspec.Struct, frozen=True):
-    """One incarnation of a router.
+    """Row of one router incarnation.
 
     Attributes
     ----------
     writable : bool
-        False once fenced; every write of the incarnation checks it.
+        False once the incarnation is fenced; checked by each of its writes.
     buddies : tuple of str
         Incarnations that may hold its run records.
+    recoverer : str
+        Incarnation that recovers this one once it is fenced, else empty.
     """
 
     incarnation: str
@@ -57,7 +59,7 @@
 
 
 def instance_of(incarnation: str) -> str:
-    """Return the instance that an incarnation's id names.
+    """Return the instance that an incarnation runs on.
 
     Examples
     --------
@@ -68,5 +70,5 @@
 
 
 def live_check(incarnation: str) -> FieldIs:
-    """Return the check that the incarnation may still write."""
+    """Return a check that fails if the incarnation is fenced or removed."""
     return FieldIs(router_key(incarnation), "writable", True)
