--- a/turnward/peers/__init__.py
+++ b/turnward/peers/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Routers among themselves: messages, links, records held for others, recovery."""
+"""Communication between routers: messages, connections, copies of run records and recovery."""
 
 from turnward.peers.book import RecordBook, RecordOutbox
 from turnward.peers.codec import Envelope, WireError, decode, encode
--- a/turnward/peers/book.py
+++ b/turnward/peers/book.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The records a router holds for others, and those it has handed to others."""
+"""Run records that a router holds for other routers, and its own that others must hold."""
 
 from collections import OrderedDict
 from itertools import islice
@@ -10,11 +10,11 @@
 
 
 def is_urgent(record: RunRecord) -> bool:
-    """Tell whether a record must be sent at once.
+    """Return whether a record must be sent to the buddies without delay.
 
-    An open record must be held before its request goes out, and of a call that
-    may not be repeated only the record tells that it has ended. The end of other
-    runs can be asked of the endpoint, so it may be sent later.
+    An open record must be held before its request is sent. That a call which must
+    not be repeated has ended is known from its record alone. Other closed records
+    may be sent later, since the endpoint can report the end of their runs.
     """
     return record.state is RecordState.OPEN or (
         record.state is RecordState.CLOSED and not record.repeatable
@@ -24,8 +24,8 @@
 class RecordBook:
     """Run records held for other routers, by their incarnation.
 
-    A record that is not billed is never dropped by age; only its owner's
-    ``BILLED`` or a closed recovery removes it.
+    Records do not expire: a record is removed only when its owner drops it after
+    billing, or when its owner's recovery is closed.
     """
 
     def __init__(self):
@@ -33,57 +33,57 @@
         self._closed: set[str] = set()
 
     def put(self, incarnation: str, records: tuple[RunRecord, ...], dropped=()) -> bool:
-        """Hold records and drop billed ones; False when the incarnation is fenced here."""
+        """Store new records and remove dropped ones; False if ``close`` was called."""
         if incarnation in self._closed:
             return False
-        held = self._records.setdefault(incarnation, {})
+        held_records = self._records.setdefault(incarnation, {})
         for record in records:
-            held[record.run_id] = record
+            held_records[record.run_id] = record
         for run_id in dropped:
-            held.pop(run_id, None)
+            held_records.pop(run_id, None)
         return True
 
     def close(self, incarnation: str) -> tuple[RunRecord, ...]:
-        """Accept no more records of a fenced incarnation; return those held."""
+        """Stop accepting records of a fenced incarnation and return those held."""
         self._closed.add(incarnation)
         return tuple(self._records.get(incarnation, {}).values())
 
     def forget(self, incarnation: str) -> None:
-        """Drop the records of an incarnation whose recovery is closed."""
+        """Remove the records of an incarnation whose recovery is closed."""
         self._records.pop(incarnation, None)
 
     def count(self) -> int:
-        """Return how many records are held."""
-        return sum(len(held) for held in self._records.values())
+        """Return the number of held records."""
+        return sum(len(held_records) for held_records in self._records.values())
 
 
 class RecordOutbox:
-    """This router's own records, and which of them a buddy has not acknowledged.
+    """This router's own records, and which of them each buddy has yet to acknowledge.
 
     Attributes
     ----------
     open_records : dict
-        Every record not billed yet, by run id.
+        Every record that is not billed yet, by run id.
     """
 
     def __init__(self):
         self.open_records: OrderedDict[str, RunRecord] = OrderedDict()
-        self._unsent: dict[str, OrderedDict[str, RunRecord]] = {}
-        self._first_copy: dict[str, set[str]] = {}
+        self._unacknowledged: dict[str, OrderedDict[str, RunRecord]] = {}
+        self._initial_copy: dict[str, set[str]] = {}
 
     def set_buddies(self, buddies: tuple[str, ...]) -> None:
-        """Change whom records go to; a new buddy is sent every open record."""
+        """Set the buddies that receive records; every open record is queued for a new buddy."""
         for buddy in buddies:
-            if buddy not in self._unsent:
-                self._unsent[buddy] = OrderedDict(self.open_records)
-                self._first_copy[buddy] = set(self.open_records)
-        for buddy in set(self._unsent) - set(buddies):
-            del self._unsent[buddy]
-            del self._first_copy[buddy]
+            if buddy not in self._unacknowledged:
+                self._unacknowledged[buddy] = OrderedDict(self.open_records)
+                self._initial_copy[buddy] = set(self.open_records)
+        for buddy in set(self._unacknowledged) - set(buddies):
+            del self._unacknowledged[buddy]
+            del self._initial_copy[buddy]
 
     def has_initial_copy(self, buddy: str) -> bool:
-        """Tell whether a buddy holds every record that was open when it was named."""
-        return not self._first_copy.get(buddy, {""})
+        """Return whether a buddy holds every record that was open when it was added."""
+        return not self._initial_copy.get(buddy, {""})
 
     def put(self, record: RunRecord) -> None:
         """Queue a new or changed record for every buddy."""
@@ -91,7 +91,7 @@
             self.open_records.pop(record.run_id, None)
         else:
             self.open_records[record.run_id] = record
-        for queue in self._unsent.values():
+        for queue in self._unacknowledged.values():
             queue[record.run_id] = record
 
     def next_unsent_records(
@@ -99,30 +99,30 @@
     ) -> tuple[RunRecord, ...]:
         """Return up to ``limit`` records to send to a buddy.
 
-        What need not be sent at once may be overtaken: a run that ends and is
-        billed within a moment is sent as billed only.
+        Each queued record is sent in its latest state, so a run that is closed and
+        billed in quick succession may be sent as billed only.
         """
-        queue = self._unsent.get(buddy, {}).values()
-        wanted = (record for record in queue if not urgent_only or is_urgent(record))
-        return tuple(islice(wanted, limit))
+        queue = self._unacknowledged.get(buddy, {}).values()
+        matching = (record for record in queue if not urgent_only or is_urgent(record))
+        return tuple(islice(matching, limit))
 
     def has_urgent(self, buddy: str) -> bool:
-        """Tell whether a record waits that must be sent at once."""
-        return any(is_urgent(record) for record in self._unsent.get(buddy, {}).values())
+        """Return whether a queued record must be sent without delay."""
+        return any(is_urgent(record) for record in self._unacknowledged.get(buddy, {}).values())
 
     def mark_acknowledged(self, buddy: str, records: tuple[RunRecord, ...]) -> None:
-        """Take in that a buddy holds these records."""
-        queue = self._unsent.get(buddy, {})
-        first_copy = self._first_copy.get(buddy, set())
+        """Record that a buddy holds these records."""
+        queue = self._unacknowledged.get(buddy, {})
+        initial_copy = self._initial_copy.get(buddy, set())
         for record in records:
-            first_copy.discard(record.run_id)
+            initial_copy.discard(record.run_id)
             if queue.get(record.run_id) == record:
                 del queue[record.run_id]
 
     def awaits_acknowledgement(self, buddy: str, run_id: str) -> bool:
-        """Tell whether a record is still to be acknowledged by a buddy."""
-        return run_id in self._unsent.get(buddy, {})
+        """Return whether a buddy has yet to acknowledge a record."""
+        return run_id in self._unacknowledged.get(buddy, {})
 
     def unsent_count(self, buddy: str) -> int:
-        """Return how many records a buddy has not acknowledged."""
-        return len(self._unsent.get(buddy, {}))
+        """Return the number of records that a buddy has yet to acknowledge."""
+        return len(self._unacknowledged.get(buddy, {}))
--- a/turnward/peers/codec.py
+++ b/turnward/peers/codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Turns messages between routers into bytes and back, by Cap'n Proto."""
+"""Encodes and decodes messages between routers with Cap'n Proto."""
 
 import uuid
 from pathlib import Path
@@ -35,7 +35,7 @@
 
 _SCHEMA = capnp.load(str(Path(__file__).with_name("wire.capnp")))
 
-#: Messages whose fields are the members of a group of the same name.
+#: Message types by the schema group that has the same fields.
 _GROUPS = {
     "heartbeat": Heartbeat,
     "heartbeatAck": HeartbeatAck,
@@ -49,17 +49,17 @@
 _GROUP_NAMES = {message_type: name for name, message_type in _GROUPS.items()}
 
 
-#: First byte of a packed id: what the rest is.
-_AS_UUID, _AS_HEX, _AS_TEXT = b"\x00", b"\x01", b"\x02"
+#: First byte of a packed id, which gives the encoding of the rest.
+_UUID_PREFIX, _HEX_PREFIX, _TEXT_PREFIX = b"\x00", b"\x01", b"\x02"
 _UUID_LENGTH = 36
 
 
 class WireError(TurnwardError):
-    """A frame that is not a message of this protocol."""
+    """A frame that is damaged or not a message of this protocol."""
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message with its number, its sender and the sender's hybrid time."""
+    """A message with its number, its sender and the sender's hybrid logical time."""
 
     number: int
     incarnation: str
@@ -68,7 +68,7 @@
 
 
 def pack_id(text: str) -> bytes:
-    """Return an id or digest in fewer bytes; UUIDs and hexadecimal shrink by half.
+    """Return a compact form of an id or digest; UUIDs and hexadecimal digits shrink by half.
 
     Examples
     --------
@@ -79,26 +79,26 @@
     """
     try:
         if len(text) == _UUID_LENGTH and str(uuid.UUID(text)) == text:
-            return _AS_UUID + uuid.UUID(text).bytes
+            return _UUID_PREFIX + uuid.UUID(text).bytes
         if bytes.fromhex(text).hex() == text:
-            return _AS_HEX + bytes.fromhex(text)
+            return _HEX_PREFIX + bytes.fromhex(text)
     except ValueError:
         pass
-    return _AS_TEXT + text.encode()
+    return _TEXT_PREFIX + text.encode()
 
 
 def unpack_id(packed: bytes) -> str:
-    """Return the id or digest that was packed."""
-    kind, rest = packed[:1], bytes(packed[1:])
-    if kind == _AS_UUID:
-        return str(uuid.UUID(bytes=rest))
-    if kind == _AS_HEX:
-        return rest.hex()
-    return rest.decode()
+    """Return the id or digest of a packed form."""
+    prefix, payload = packed[:1], bytes(packed[1:])
+    if prefix == _UUID_PREFIX:
+        return str(uuid.UUID(bytes=payload))
+    if prefix == _HEX_PREFIX:
+        return payload.hex()
+    return payload.decode()
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the packed bytes of an envelope."""
+    """Return the frame of an envelope."""
     wire = _SCHEMA.Envelope.new_message(
         number=envelope.number,
         incarnation=envelope.incarnation,
@@ -174,7 +174,7 @@
     return msgspec.json.decode(packed, type=ShardRow) if packed else None
 
 
-def _claim_message(name: str, body) -> Message:
+def _read_claim_message(name: str, body) -> Message:
     match name:
         case "holdClaim":
             return HoldClaim(body.shard, body.epoch, _read_claim(body.claim))
@@ -199,18 +199,18 @@
     Raises
     ------
     WireError
-        The frame is damaged or of a kind not known here.
+        The frame is damaged or its message type is unknown.
     """
     try:
         wire = _SCHEMA.Envelope.from_bytes_packed(frame)
         return Envelope(
-            wire.number, wire.incarnation, Stamp(wire.wallMs, wire.counter), _message(wire)
+            wire.number, wire.incarnation, Stamp(wire.wallMs, wire.counter), _read_message(wire)
         )
-    except (capnp.KjException, msgspec.MsgspecError, ValueError) as failure:
-        raise WireError(f"damaged frame: {failure}") from failure
+    except (capnp.KjException, msgspec.MsgspecError, ValueError) as error:
+        raise WireError(f"damaged frame: {error}") from error
 
 
-def _message(wire) -> Message:
+def _read_message(wire) -> Message:
     name = wire.which()
     body = getattr(wire, str(name))
     if name in _GROUPS:
@@ -224,7 +224,7 @@
         return HandOverAck(records, body.wasHolder)
     if name == "configDelta":
         return ConfigDelta(tuple(ConfigEntry(entry.revision, bytes(entry.body)) for entry in body))
-    return _claim_message(str(name), body)
+    return _read_claim_message(str(name), body)
 
 
 def _fill_records(target, records: tuple[RunRecord, ...]) -> None:
--- a/turnward/peers/errors.py
+++ b/turnward/peers/errors.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Errors between routers."""
+"""Errors of the communication between routers."""
 
 from turnward.errors import TurnwardError
 
@@ -7,8 +7,8 @@
 
 
 class PeerError(TurnwardError):
-    """Base class of errors between routers."""
+    """Base class of errors of the communication between routers."""
 
 
 class PeerUnreachableError(PeerError):
-    """No answer came from the peer; the message may or may not have arrived."""
+    """The peer did not respond; the message may or may not have arrived."""
--- a/turnward/peers/link.py
+++ b/turnward/peers/link.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Connections between routers: length-prefixed frames over TCP, asked and answered.
+"""Request-response connections between routers: length-prefixed frames over TCP.
 
-The frames are ``twisted``'s ``Int32StringReceiver``; the bytes inside are
-Cap'n Proto.
+Framing is that of Twisted's ``Int32StringReceiver``; the payload is Cap'n Proto.
 """
 
 from abc import ABC, abstractmethod
@@ -20,24 +19,23 @@
 
 __all__ = ["Handler", "PeerLinks", "PeersBase"]
 
-#: Largest frame accepted, in bytes.
 FRAME_LIMIT_BYTES = 4_000_000
 
-#: Answers a message of the incarnation named first.
+#: Called with the sender's incarnation and its message; returns the response.
 Handler = Callable[[str, Message], Awaitable[Message]]
 
 
 class PeersBase(ABC):
-    """Asks other routers and answers them.
+    """Sends requests to other routers and answers theirs.
 
     Attributes
     ----------
     handler : Handler or None
-        Answers questions of peers; set by the router before it listens.
+        Answers requests of peers; set by the router before it listens.
     incarnation : str
-        Who asks; set at each registration.
+        Incarnation of this router; set at each registration.
     sent_bytes, received_bytes : int
-        Frames so far, without their TCP and IP headers.
+        Total size of all frames, without length prefixes and TCP and IP headers.
     """
 
     handler: Handler | None = None
@@ -47,7 +45,7 @@
 
     @abstractmethod
     def listen(self, address: str):
-        """Begin to answer peers."""
+        """Start to accept connections of peers."""
 
     @abstractmethod
     def close(self) -> None:
@@ -55,16 +53,16 @@
 
     @abstractmethod
     async def ask(self, address: str, incarnation: str, message: Message) -> Message:
-        """Send a message to an incarnation and return its answer.
+        """Send a message to an incarnation and return its response.
 
         Raises
         ------
         PeerUnreachableError
-            No answer came in time, or another incarnation answered.
+            No response arrived in time, or another incarnation responded.
         """
 
 
-class _Frames(Int32StringReceiver):
+class _Connection(Int32StringReceiver):
     MAX_LENGTH = FRAME_LIMIT_BYTES
 
     def __init__(self, links: "PeerLinks"):
@@ -76,7 +74,7 @@
         self._next_number += 1
         number = self._next_number
         answer = self._waiting[number] = defer.Deferred()
-        self.sendString(self._links.seal(number, message))
+        self.sendString(self._links.encode_frame(number, message))
         return answer.addTimeout(self._links.timeout_s, self._links.reactor).addBoth(
             self._forget, number
         )
@@ -90,15 +88,15 @@
         for answer in waiting.values():
             if not answer.called:
                 answer.errback(PeerUnreachableError("the connection to the peer was lost"))
-        self._links.dropped(self)
+        self._links.remove_connection(self)
 
 
-class _AskingFrames(_Frames):
-    """The side that opened the connection; it receives answers."""
+class _OutgoingConnection(_Connection):
+    """A connection that this router opened; it receives responses."""
 
     def stringReceived(self, string):
         try:
-            envelope = self._links.open(string)
+            envelope = self._links.decode_frame(string)
         except WireError:
             self.transport.abortConnection()
             return
@@ -107,12 +105,12 @@
             answer.callback(envelope)
 
 
-class _AnsweringFrames(_Frames):
-    """The side that was connected to; it receives questions."""
+class _IncomingConnection(_Connection):
+    """A connection that a peer opened; it receives requests."""
 
     def stringReceived(self, string):
         try:
-            envelope = self._links.open(string)
+            envelope = self._links.decode_frame(string)
         except WireError:
             self.transport.abortConnection()
             return
@@ -121,28 +119,28 @@
     async def _answer(self, envelope: Envelope) -> None:
         answer = await self._links.handler(envelope.incarnation, envelope.message)
         if self.connected:
-            self.sendString(self._links.seal(envelope.number, answer))
+            self.sendString(self._links.encode_frame(envelope.number, answer))
 
 
 class PeerLinks(PeersBase, protocol.Factory):
-    """Owns the listening port and the connections to peers; opened when first used.
+    """Owns the listening port and the connections to peers, which open on first use.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     clock : HybridClock
-        Stamps travel with each message.
+        Clock whose time is sent with each message.
     timeout_s : float
-        Limit for an answer, in seconds.
+        Time limit for connecting and for a response, in seconds.
     """
 
     def __init__(self, reactor, clock: HybridClock, timeout_s: float):
         self.reactor = reactor
         self.timeout_s = timeout_s
         self._clock = clock
-        self._links: dict[str, defer.Deferred | _AskingFrames] = {}
-        self._answering: set[_Frames] = set()
+        self._outgoing: dict[str, defer.Deferred | _OutgoingConnection] = {}
+        self._incoming: set[_Connection] = set()
         self._port = None
 
     def listen(self, address):
@@ -152,60 +150,64 @@
         return self._port
 
     def buildProtocol(self, addr):
-        """Return the protocol of a connection that a peer opened."""
-        frames = _AnsweringFrames(self)
-        self._answering.add(frames)
-        return frames
+        """Return the protocol of a new connection of a peer."""
+        connection = _IncomingConnection(self)
+        self._incoming.add(connection)
+        return connection
 
     async def ask(self, address, incarnation, message):
         """See ``PeersBase.ask``."""
-        link = await self._link(address)
+        connection = await self._connection_to(address)
         try:
-            envelope = await link.ask(message)
-        except defer.TimeoutError as failure:
-            raise PeerUnreachableError(f"no answer from {address} in time") from failure
+            envelope = await connection.ask(message)
+        except defer.TimeoutError as error:
+            raise PeerUnreachableError(f"no response from {address} in time") from error
         if envelope.incarnation != incarnation:
-            raise PeerUnreachableError(f"{incarnation} is not at {address} any more")
+            raise PeerUnreachableError(f"{incarnation} no longer runs at {address}")
         return envelope.message
 
-    async def _link(self, address: str) -> _AskingFrames:
-        known = self._links.get(address)
-        if isinstance(known, _AskingFrames):
-            return known
-        if known is None:
-            known = self._links[address] = defer.ensureDeferred(self._connect(address))
-            known.addErrback(lambda _: None)
+    async def _connection_to(self, address: str) -> _OutgoingConnection:
+        existing = self._outgoing.get(address)
+        if isinstance(existing, _OutgoingConnection):
+            return existing
+        if existing is None:
+            existing = self._outgoing[address] = defer.ensureDeferred(self._connect(address))
+            existing.addErrback(lambda _: None)
         waiter: defer.Deferred = defer.Deferred()
-        known.addBoth(lambda result: (waiter.callback(result), result)[1])
-        link = await waiter
-        if link is None:
+        existing.addBoth(lambda result: (waiter.callback(result), result)[1])
+        connection = await waiter
+        if connection is None:
             raise PeerUnreachableError(f"no connection to {address}")
-        return link
+        return connection
 
-    async def _connect(self, address: str) -> _AskingFrames | None:
+    async def _connect(self, address: str) -> _OutgoingConnection | None:
         host, port = parse_address(address)
         target = TCP4ClientEndpoint(self.reactor, host, port, timeout=self.timeout_s)
         try:
-            link = await connectProtocol(target, _AskingFrames(self))
+            connection = await connectProtocol(target, _OutgoingConnection(self))
         except Exception:
-            del self._links[address]
+            del self._outgoing[address]
             raise
-        self._links[address] = link
-        return link
-
-    def dropped(self, frames: _Frames) -> None:
-        """Forget a lost connection."""
-        self._answering.discard(frames)
-        self._links = {address: link for address, link in self._links.items() if link is not frames}
-
-    def seal(self, number: int, message: Message) -> bytes:
-        """Return the frame of a message of this router."""
+        self._outgoing[address] = connection
+        return connection
+
+    def remove_connection(self, closed: _Connection) -> None:
+        """Remove a closed connection."""
+        self._incoming.discard(closed)
+        self._outgoing = {
+            address: connection
+            for address, connection in self._outgoing.items()
+            if connection is not closed
+        }
+
+    def encode_frame(self, number: int, message: Message) -> bytes:
+        """Return the frame of a message from this router, and count its bytes."""
         frame = encode(Envelope(number, self.incarnation, self._clock.tick(), message))
         self.sent_bytes += len(frame)
         return frame
 
-    def open(self, frame: bytes) -> Envelope:
-        """Return the envelope of a received frame and take in its stamp."""
+    def decode_frame(self, frame: bytes) -> Envelope:
+        """Return the envelope of a received frame, and advance the clock to its time."""
         self.received_bytes += len(frame)
         envelope = decode(frame)
         self._clock.observe(envelope.stamp)
@@ -215,6 +217,6 @@
         """See ``PeersBase.close``."""
         if self._port is not None:
             self._port.stopListening()
-        for link in [*self._links.values(), *self._answering]:
-            if isinstance(link, _Frames) and link.transport is not None:
-                link.transport.abortConnection()
+        for connection in [*self._outgoing.values(), *self._incoming]:
+            if isinstance(connection, _Connection) and connection.transport is not None:
+                connection.transport.abortConnection()
--- a/turnward/peers/messages.py
+++ b/turnward/peers/messages.py
@@ -32,7 +32,7 @@
 
 
 class RecordState(IntEnum):
-    """How far a run has come, as its record tells."""
+    """State of a run according to its record."""
 
     OPEN = 0
     CLOSED = 1
@@ -40,14 +40,14 @@
 
 
 class RunRecord(msgspec.Struct, frozen=True):
-    """What a buddy needs to settle a run whose router is gone.
+    """What a buddy needs to bill a run after the crash of its router.
 
     Attributes
     ----------
     reserved_tokens : int
-        Upper bound of what the run can use.
+        Upper bound of the tokens that the run can use.
     used_tokens : int
-        What it used; valid once ``state`` is CLOSED.
+        Tokens used; valid once ``state`` is CLOSED.
     """
 
     request_id: str
@@ -63,12 +63,12 @@
 
 
 def stored_records_prefix(incarnation: str) -> str:
-    """Return the prefix of records that an incarnation keeps in the table."""
+    """Return the prefix of the records that an incarnation keeps in the store."""
     return f"record/{incarnation}/"
 
 
 def stored_record_key(incarnation: str, run_id: str) -> str:
-    """Return the key of a record kept in the table, where no buddy could hold it."""
+    """Return the key of a record kept in the store because no buddy could hold it."""
     return f"{stored_records_prefix(incarnation)}{run_id}"
 
 
@@ -80,35 +80,35 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The sender lives and has ``revision`` in force."""
+    """The sender is alive and applies configuration ``revision``."""
 
     revision: int
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True):
-    """Answer to a heartbeat, with the answerer's revision."""
+    """Response to a heartbeat, with the configuration revision of the receiver."""
 
     revision: int
 
 
 class PutRecords(msgspec.Struct, frozen=True):
-    """New or changed run records of the sender, and run ids of records to drop."""
+    """New or changed run records of the sender, and run ids of records to remove."""
 
     records: tuple[RunRecord, ...]
     dropped: tuple[str, ...] = ()
 
 
 class RecordsAck(msgspec.Struct, frozen=True):
-    """The records are held; ``accepted`` is False once the sender is fenced."""
+    """Response to records; ``accepted`` is False once the sender is fenced."""
 
     accepted: bool
 
 
 class HandOver(msgspec.Struct, frozen=True):
-    """Stop accepting records of ``fenced`` and send those held by ``holder``.
+    """Request to stop accepting records of ``fenced`` and return those held by ``holder``.
 
-    The process asked may have been fenced itself since it held them, so the
-    incarnation that held them is named.
+    The receiving process may have registered as a new incarnation in the meantime,
+    so the message names the incarnation that held the records.
     """
 
     fenced: str
@@ -116,13 +116,13 @@
 
 
 class HandOverAck(msgspec.Struct, frozen=True):
-    """The records held of a fenced incarnation.
+    """The held records of a fenced incarnation.
 
     Attributes
     ----------
     was_holder : bool
-        False when this process never was the holder that was asked for, so
-        that what the holder held is lost.
+        False if this process never was the named holder, so that the records
+        of that holder are lost.
     """
 
     records: tuple[RunRecord, ...]
@@ -130,31 +130,31 @@
 
 
 class ConfigRequest(msgspec.Struct, frozen=True):
-    """Send the configuration entries past ``after``."""
+    """Request for the configuration entries after revision ``after``."""
 
     after: int
 
 
 class ConfigDelta(msgspec.Struct, frozen=True):
-    """Configuration entries in order."""
+    """Configuration entries in order of revision."""
 
     entries: tuple[ConfigEntry, ...]
 
 
 class StatusRequest(msgspec.Struct, frozen=True):
-    """Send your state for operators."""
+    """Request for state that is shown to operators."""
 
     kind: str
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """State for operators, as JSON."""
+    """State that is shown to operators, as JSON."""
 
     body: bytes
 
 
 class HoldClaim(msgspec.Struct, frozen=True):
-    """Record a claim of a shard at an epoch."""
+    """Request to record a claim of a shard at an epoch."""
 
     shard: int
     epoch: int
@@ -162,13 +162,13 @@
 
 
 class HoldClaimAck(msgspec.Struct, frozen=True):
-    """A holder's answer to a claim."""
+    """A holder's response to a claim."""
 
     answer: HoldResult
 
 
 class ReleaseHeldClaim(msgspec.Struct, frozen=True):
-    """Forget a claim whose call was proved not to have run."""
+    """Request to remove a claim whose call is known not to have run."""
 
     shard: int
     epoch: int
@@ -177,7 +177,7 @@
 
 
 class MoveShard(msgspec.Struct, frozen=True):
-    """Begin to hold a shard as its row says, with these claims."""
+    """Request to serve a shard as its row states, starting with these claims."""
 
     row: ShardRow
     claims: tuple[HeldClaim, ...]
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Recovers a dead router: fences it, settles its runs, returns what is proved unspent."""
+"""Recovers a crashed router: bills its runs and returns tokens known to be unspent."""
 
 from enum import StrEnum
 
@@ -44,7 +44,7 @@
 
 
 class RecoveryState(StrEnum):
-    """How far a recovery is."""
+    """State of a recovery."""
 
     WAITING_FOR_HOLDERS = "waiting_for_holders"
     WAITING_FOR_ENDPOINTS = "waiting_for_endpoints"
@@ -52,8 +52,8 @@
     CLOSED_IN_DOUBT = "closed_in_doubt"
 
 
-class _Gathered(msgspec.Struct):
-    """Records of a fenced router, and whether a holder of some was lost."""
+class _CollectedRecords(msgspec.Struct):
+    """Records of a fenced router, and the holders that are unreachable or lost."""
 
     records: dict[str, RunRecord]
     unreachable: list[str]
@@ -61,24 +61,26 @@
 
 
 class Recoverer:
-    """Recovers one fenced incarnation at a time; every step may be repeated.
+    """Recovers fenced incarnations; every step may be repeated.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     registry : RouterRegistry
         The router rows.
     peers : PeersBase
-        Asks the other holders.
+        Sends requests to the other holders.
     book : RecordBook
-        Records this router holds.
+        Records that this router holds.
     engines : EngineClientBase
-        Asks endpoints for their account of a run.
+        Asks endpoints for their record of a run.
     endpoint_url : callable
-        Gives the URL of an endpoint's name, or None when it is not configured.
+        Returns the URL of an endpoint by name, or None if it is not configured.
     is_engine : callable
-        Tells whether an endpoint is a model engine.
+        Returns whether an endpoint, by name, is a model engine.
+    events : EventLog
+        Receives the events of recoveries.
     """
 
     def __init__(
@@ -105,26 +107,26 @@
     async def step(
         self, row: RouterRow, own: str, rows: dict[str, RouterRow], listed: set[str] | None
     ) -> RecoveryState:
-        """Take a fenced router's recovery as far as it goes now.
+        """Advance a fenced router's recovery as far as currently possible.
 
         Parameters
         ----------
         row : RouterRow
-            The fenced row, read after the fence.
+            The fenced router's row, read after fencing.
         own : str
-            This router's incarnation, which holds the duty.
+            This router's incarnation, which is the recoverer.
         rows : dict
             All router rows.
         listed : set of str or None
-            The platform's live instances; None when the list is not to be had.
+            The platform's live instances; None if the list is not available.
         """
-        gathered = await self._gather(row, own, rows, listed)
-        if gathered.unreachable:
+        collected = await self._collect_records(row, own, rows, listed)
+        if collected.unreachable:
             return RecoveryState.WAITING_FOR_HOLDERS
         writer = BillWriter(self._table, own)
         waiting = False
         settled = self._settled.setdefault(row.incarnation, set())
-        for record in gathered.records.values():
+        for record in collected.records.values():
             if record.run_id in settled:
                 continue
             used_tokens = await self._used_tokens(record)
@@ -132,7 +134,7 @@
                 waiting = True
                 continue
             if used_tokens == 0 and record.repeatable and self._is_engine(record.endpoint):
-                # Proved not to have run; a bill would stand in the way of a retry's.
+                # The run is known not to have happened; a bill would block that of a retry.
                 settled.add(record.run_id)
                 self._emit("recovery.not_run", record, row.incarnation)
                 continue
@@ -141,10 +143,10 @@
         await self._write(writer, row)
         if waiting:
             return RecoveryState.WAITING_FOR_ENDPOINTS
-        return await self._close(row, own, bool(gathered.lost))
+        return await self._close(row, own, bool(collected.lost))
 
-    async def _gather(self, row: RouterRow, own: str, rows, listed) -> _Gathered:
-        gathered = _Gathered({}, [], [])
+    async def _collect_records(self, row: RouterRow, own: str, rows, listed) -> _CollectedRecords:
+        collected = _CollectedRecords({}, [], [])
         for holder in row.buddies:
             if holder == own:
                 records = self._book.close(row.incarnation)
@@ -152,17 +154,17 @@
             else:
                 answer = await self._ask_holder(holder, row.incarnation, rows)
             if answer is not None and answer.was_holder:
-                _merge(gathered.records, answer.records)
-            elif answer is not None or _is_off_list(holder, listed):
-                gathered.lost.append(holder)
+                _merge(collected.records, answer.records)
+            elif answer is not None or _is_unlisted(holder, listed):
+                collected.lost.append(holder)
             else:
-                gathered.unreachable.append(holder)
-        _merge(gathered.records, self._book.close(row.incarnation))
-        _merge(gathered.records, await self._stored_records(row.incarnation))
-        return gathered
+                collected.unreachable.append(holder)
+        _merge(collected.records, self._book.close(row.incarnation))
+        _merge(collected.records, await self._stored_records(row.incarnation))
+        return collected
 
     async def _ask_holder(self, holder: str, fenced: str, rows) -> HandOverAck | None:
-        """Ask the process that was ``holder``; it may be another incarnation by now."""
+        """Request records from the process that was ``holder``, under its current incarnation."""
         instance = instance_of(holder)
         for row in rows.values():
             if row.instance != instance or not row.writable:
@@ -181,10 +183,10 @@
         return [msgspec.convert(row.value, RunRecord) for row in rows]
 
     async def _used_tokens(self, record: RunRecord) -> int | None:
-        """Return the tokens that can be proved, or None when the engine must be asked again.
+        """Return the tokens known to be used, or None if the engine must be asked again.
 
-        Of a plain service's open call, or a run on an endpoint that is no
-        longer configured, nothing can be proved, so it is billed at 0.
+        Nothing is known of an open call of a plain service, or of a run on an
+        endpoint that is no longer configured, so these are billed at 0.
         """
         if record.state is RecordState.CLOSED:
             return record.used_tokens
@@ -193,9 +195,10 @@
             return 0
         try:
             account = await self._engines.account(url, record.run_id)
-            gone = account.state is RunState.RUNNING and account.reader_gone
-            if gone or account.state is RunState.NEVER_SEEN:
-                # A frozen router may still send a run never seen; cancelled, it is refused.
+            unread = account.state is RunState.RUNNING and account.reader_gone
+            if unread or account.state is RunState.NEVER_SEEN:
+                # The fenced router may resume and send a run that the engine has not seen;
+                # cancelling makes the engine reject it.
                 account = await self._engines.cancel(url, record.run_id)
         except EndpointError:
             return None
@@ -204,7 +207,7 @@
         return min(account.used_tokens, record.reserved_tokens)
 
     def _emit(self, kind: str, record: RunRecord, of: str) -> None:
-        """Tell on the time line what the buddies held of a run."""
+        """Emit an event that shows the recovered record of a run."""
         self._events.emit(
             kind,
             request_id=record.request_id,
@@ -240,10 +243,10 @@
         return Bill(row, (Put(key, msgspec.to_builtins(claim)),))
 
     async def _write(self, writer: BillWriter, row: RouterRow) -> None:
-        done = await writer.flush()
+        outcome = await writer.flush()
         settled = self._settled[row.incarnation]
-        settled.update(bill.row.run_id for bill, _ in done.duplicates)
-        for bill in done.written:
+        settled.update(bill.row.run_id for bill, _ in outcome.duplicates)
+        for bill in outcome.written:
             settled.add(bill.row.run_id)
             self._events.emit(
                 "recovery.billed",
@@ -254,7 +257,7 @@
                 of=row.incarnation,
             )
         if writer.pending:
-            raise OutcomeUnknownError("bills of a recovery are not settled yet")
+            raise OutcomeUnknownError("the outcome of writing a recovery's bills is unknown")
 
     async def _close(self, row: RouterRow, own: str, holder_lost: bool) -> RecoveryState:
         in_doubt = 0
@@ -282,24 +285,24 @@
             Add(budget, "spent_tokens", grant.settled_tokens),
         ]
         if in_doubt:
-            left = msgspec.structs.replace(
+            remaining_grant = msgspec.structs.replace(
                 grant, granted_tokens=in_doubt, settled_tokens=0, in_doubt_tokens=in_doubt
             )
-            writes.append(Put(key, msgspec.to_builtins(left)))
+            writes.append(Put(key, msgspec.to_builtins(remaining_grant)))
         else:
             writes.append(Delete(key))
         result = await self._table.transact(Transaction(checks, tuple(writes)))
         if not isinstance(result, Committed):
-            raise OutcomeUnknownError(f"grant {key} changed while it was closed")
+            raise OutcomeUnknownError(f"grant {key} changed while it was being closed")
         return in_doubt
 
 
-def _is_off_list(holder: str, listed: set[str] | None) -> bool:
+def _is_unlisted(holder: str, listed: set[str] | None) -> bool:
     return listed is not None and instance_of(holder) not in listed
 
 
-def _merge(records: dict[str, RunRecord], more) -> None:
-    for record in more:
-        known = records.get(record.run_id)
-        if known is None or record.state > known.state:
+def _merge(records: dict[str, RunRecord], new_records) -> None:
+    for record in new_records:
+        existing = records.get(record.run_id)
+        if existing is None or record.state > existing.state:
             records[record.run_id] = record
--- a/turnward/peers/tests/test_codec.py
+++ b/turnward/peers/tests/test_codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The wire between routers."""
+"""Encoding and decoding of messages between routers."""
 
 import contextlib
 
@@ -49,7 +49,7 @@
 )
 
 
-def there_and_back(message):
+def round_trips(message):
     envelope = Envelope(7, "entry-1.0123456789ab", Stamp(1, 2), message)
     return decode(encode(envelope)) == envelope
 
@@ -76,14 +76,14 @@
     ],
 )
 def test_every_message_round_trips(message):
-    assert there_and_back(message)
+    assert round_trips(message)
 
 
 @FUZZ
 @given(records=st.lists(RECORDS, max_size=4))
 def test_any_records_round_trip(records):
-    assert there_and_back(PutRecords(tuple(records), tuple(r.run_id for r in records)))
-    assert there_and_back(HandOverAck(tuple(records), True))
+    assert round_trips(PutRecords(tuple(records), tuple(r.run_id for r in records)))
+    assert round_trips(HandOverAck(tuple(records), True))
 
 
 @FUZZ
