--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -16,17 +16,17 @@
 from twisted.internet.task import Clock
 
 from tests.helpers import run
-from turnward.callers.answers import AnswerBase, send_refusal
 from turnward.callers.chat import ChatServer
 from turnward.callers.problems import RefusedError
+from turnward.callers.response_writers import ResponseWriterBase, send_refusal
 from turnward.callers.services import ServiceRequest, ServiceServer
 from turnward.endpoints import (
     EndpointError,
     EngineClientBase,
     LoadReport,
     NotRunError,
-    RunAccount,
     RunState,
+    RunStatus,
     RunUncertainError,
     ServiceClientBase,
 )
@@ -84,7 +84,7 @@
         return START_S + self._reactor.seconds()
 
 
-class RecordedAnswer(AnswerBase):
+class RecordedAnswer(ResponseWriterBase):
     """Collects what a caller would read."""
 
     def __init__(self):
@@ -109,7 +109,7 @@
         self.aborted = True
 
     @property
-    def caller_gone(self):
+    def caller_disconnected(self):
         return self.gone
 
 
@@ -196,13 +196,13 @@
     async def resume(self, url, run_id, start, on_data):
         raise RunUncertainError("no resume here")
 
-    async def account(self, url, run_id):
+    async def run_status(self, url, run_id):
         if self._router.cut_from_endpoints:
             raise EndpointError("cut")
         run_record = self._world.runs.get(run_id)
         if run_record is None:
-            return RunAccount(RunState.NEVER_SEEN)
-        return RunAccount(run_record["state"], run_record["used_tokens"])
+            return RunStatus(RunState.NEVER_SEEN)
+        return RunStatus(run_record["state"], run_record["used_tokens"])
 
     async def cancel(self, url, run_id):
         if run_id not in self._world.runs:
@@ -213,7 +213,7 @@
                 "state": RunState.CANCELLED,
                 "used_tokens": 0,
             }
-        return await self.account(url, run_id)
+        return await self.run_status(url, run_id)
 
     async def load(self, url):
         return LoadReport(0, 0)
@@ -290,8 +290,8 @@
         )
         self.context.peers = _FakePeers(fleet, self)
         self.process = RouterProcess(self.context)
-        self._chat = ChatServer(self.context, self.process.desk)
-        self._services = ServiceServer(self.context, self.process.desk)
+        self._chat = ChatServer(self.context, self.process.coordinator)
+        self._services = ServiceServer(self.context, self.process.coordinator)
         defer.ensureDeferred(self.process.start_tasks())
 
     def deliver(self, thunk) -> None:
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -194,17 +194,17 @@
         if url is None or not self._is_engine(record.endpoint):
             return 0
         try:
-            account = await self._engines.account(url, record.run_id)
-            unread = account.state is RunState.RUNNING and account.reader_gone
-            if unread or account.state is RunState.NEVER_SEEN:
+            run_status = await self._engines.run_status(url, record.run_id)
+            unread = run_status.state is RunState.RUNNING and run_status.reader_gone
+            if unread or run_status.state is RunState.NEVER_SEEN:
                 # The fenced router may resume and send a run that the engine has not seen;
                 # cancelling makes the engine reject it.
-                account = await self._engines.cancel(url, record.run_id)
+                run_status = await self._engines.cancel(url, record.run_id)
         except EndpointError:
             return None
-        if account.state is RunState.RUNNING:
+        if run_status.state is RunState.RUNNING:
             return None
-        return min(account.used_tokens, record.reserved_tokens)
+        return min(run_status.used_tokens, record.reserved_tokens)
 
     def _emit(self, kind: str, record: RunRecord, of: str) -> None:
         """Emit an event that shows the recovered record of a run."""
