--- a/turnward/peers/messages.py
+++ b/turnward/peers/messages.py
@@ -99,7 +99,7 @@
 
 
 class RecordsAck(msgspec.Struct, frozen=True):
-    """Response to records; ``accepted`` is False once the sender is fenced."""
+    """Whether a ``PutRecords``, ``ReleaseHeldClaim`` or ``MoveShard`` request was accepted."""
 
     accepted: bool
 
@@ -142,13 +142,13 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True):
-    """Request for state that is shown to operators."""
+    """Request for the part of a router's state that ``kind`` names."""
 
     kind: str
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """State that is shown to operators, as JSON."""
+    """The requested part of a router's state, as JSON."""
 
     body: bytes
 
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -56,8 +56,8 @@
     """Records of a fenced router, and the holders that are unreachable or lost."""
 
     records: dict[str, RunRecord]
-    unreachable: list[str]
-    lost: list[str]
+    unreachable_holders: list[str]
+    lost_holders: list[str]
 
 
 class Recoverer:
@@ -105,7 +105,11 @@
         self._settled: dict[str, set[str]] = {}
 
     async def step(
-        self, row: RouterRow, own: str, rows: dict[str, RouterRow], listed: set[str] | None
+        self,
+        row: RouterRow,
+        own_incarnation: str,
+        rows: dict[str, RouterRow],
+        listed_instances: set[str] | None,
     ) -> RecoveryState:
         """Advance a fenced router's recovery as far as currently possible.
 
@@ -113,17 +117,17 @@
         ----------
         row : RouterRow
             The fenced router's row, read after fencing.
-        own : str
+        own_incarnation : str
             This router's incarnation, which is the recoverer.
         rows : dict
             All router rows.
-        listed : set of str or None
+        listed_instances : set of str or None
             The platform's live instances; None if the list is not available.
         """
-        collected = await self._collect_records(row, own, rows, listed)
-        if collected.unreachable:
+        collected = await self._collect_records(row, own_incarnation, rows, listed_instances)
+        if collected.unreachable_holders:
             return RecoveryState.WAITING_FOR_HOLDERS
-        writer = BillWriter(self._table, own)
+        writer = BillWriter(self._table, own_incarnation)
         waiting = False
         settled = self._settled.setdefault(row.incarnation, set())
         for record in collected.records.values():
@@ -143,28 +147,30 @@
         await self._write(writer, row)
         if waiting:
             return RecoveryState.WAITING_FOR_ENDPOINTS
-        return await self._close(row, own, bool(collected.lost))
+        return await self._close(row, own_incarnation, bool(collected.lost_holders))
 
-    async def _collect_records(self, row: RouterRow, own: str, rows, listed) -> _CollectedRecords:
+    async def _collect_records(
+        self, row: RouterRow, own_incarnation: str, rows, listed_instances
+    ) -> _CollectedRecords:
         collected = _CollectedRecords({}, [], [])
         for holder in row.buddies:
-            if holder == own:
+            if holder == own_incarnation:
                 records = self._book.close(row.incarnation)
                 answer = HandOverAck(records, True)
             else:
                 answer = await self._ask_holder(holder, row.incarnation, rows)
             if answer is not None and answer.was_holder:
                 _merge(collected.records, answer.records)
-            elif answer is not None or _is_unlisted(holder, listed):
-                collected.lost.append(holder)
+            elif answer is not None or _is_unlisted(holder, listed_instances):
+                collected.lost_holders.append(holder)
             else:
-                collected.unreachable.append(holder)
+                collected.unreachable_holders.append(holder)
         _merge(collected.records, self._book.close(row.incarnation))
         _merge(collected.records, await self._stored_records(row.incarnation))
         return collected
 
     async def _ask_holder(self, holder: str, fenced: str, rows) -> HandOverAck | None:
-        """Request records from the process that was ``holder``, under its current incarnation."""
+        """Ask the process that was ``holder``, under its current incarnation, for records."""
         instance = instance_of(holder)
         for row in rows.values():
             if row.instance != instance or not row.writable:
@@ -206,7 +212,7 @@
             return None
         return min(run_status.used_tokens, record.reserved_tokens)
 
-    def _emit(self, kind: str, record: RunRecord, of: str) -> None:
+    def _emit(self, kind: str, record: RunRecord, incarnation: str) -> None:
         """Emit an event that shows the recovered record of a run."""
         self._events.emit(
             kind,
@@ -215,7 +221,7 @@
             endpoint=record.endpoint,
             run_id=record.run_id,
             held_as=record.state.name.lower(),
-            of=of,
+            of=incarnation,
         )
 
     def _bill(self, record: RunRecord, incarnation: str, used_tokens: int) -> Bill:
@@ -259,26 +265,30 @@
         if writer.pending:
             raise OutcomeUnknownError("the outcome of writing a recovery's bills is unknown")
 
-    async def _close(self, row: RouterRow, own: str, holder_lost: bool) -> RecoveryState:
+    async def _close(
+        self, row: RouterRow, own_incarnation: str, holder_lost: bool
+    ) -> RecoveryState:
         in_doubt = 0
         for grant in await self._table.scan_all(grants_prefix(row.incarnation)):
-            in_doubt += await self._close_grant(grant, row, own, holder_lost)
+            in_doubt += await self._close_grant(grant, row, own_incarnation, holder_lost)
         await self._registry.close_recovery(row.incarnation, in_doubt > 0)
         self._book.forget(row.incarnation)
         self._settled.pop(row.incarnation, None)
         self._events.emit("recovery.closed", of=row.incarnation, in_doubt_tokens=in_doubt)
         return RecoveryState.CLOSED_IN_DOUBT if in_doubt else RecoveryState.CLOSED
 
-    async def _close_grant(self, stored, row: RouterRow, own: str, holder_lost: bool) -> int:
-        grant = msgspec.convert(stored.value, GrantRow)
+    async def _close_grant(
+        self, stored_row, row: RouterRow, own_incarnation: str, holder_lost: bool
+    ) -> int:
+        grant = msgspec.convert(stored_row.value, GrantRow)
         unsettled = grant.granted_tokens - grant.settled_tokens
         in_doubt = unsettled if holder_lost else 0
         key = grant_key(row.incarnation, grant.budget)
         budget = budget_key(grant.budget)
         checks = (
-            VersionIs(key, stored.version),
+            VersionIs(key, stored_row.version),
             FieldIs(router_key(row.incarnation), "state", RouterState.FENCED.value),
-            FieldIs(router_key(row.incarnation), "recoverer", own),
+            FieldIs(router_key(row.incarnation), "recoverer", own_incarnation),
         )
         writes = [
             Add(budget, "ungranted_tokens", unsettled - in_doubt),
@@ -297,8 +307,8 @@
         return in_doubt
 
 
-def _is_unlisted(holder: str, listed: set[str] | None) -> bool:
-    return listed is not None and instance_of(holder) not in listed
+def _is_unlisted(holder: str, listed_instances: set[str] | None) -> bool:
+    return listed_instances is not None and instance_of(holder) not in listed_instances
 
 
 def _merge(records: dict[str, RunRecord], new_records) -> None:
