--- a/turnward/events/tests/test_events.py
+++ b/turnward/events/tests/test_events.py
@@ -14,14 +14,14 @@
 )
 
 
-def test_stamps_follow_messages_between_clocks_that_differ():
+def test_timestamps_keep_message_order_despite_clock_skew():
     ahead, behind = HybridClock(ManualClock(2_000.0)), HybridClock(ManualClock(1_000.0))
     sent = ahead.tick()
     behind.observe(sent)
     assert behind.tick() > sent
 
 
-def test_merged_time_line_has_each_event_once_and_in_order():
+def test_merged_timeline_has_each_event_once_and_in_order():
     clock = ManualClock()
     logs = [EventLog(HybridClock(clock), name, "a", name) for name in ("r1", "r2")]
     for number in range(3):
@@ -41,7 +41,7 @@
     assert first.stamp == HybridTimestamp(1_000_000, 0)
 
 
-def test_metrics_go_out_by_statsd():
+def test_metrics_are_sent_over_statsd():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.settimeout(5.0)
--- a/turnward/operators/api.py
+++ b/turnward/operators/http_resource.py
@@ -15,7 +15,7 @@
 from turnward.settings import SettingsError
 from turnward.store import PlatformError
 
-__all__ = ["ApplyRequest", "OperatorsApi"]
+__all__ = ["ApplyRequest", "OperatorResource"]
 
 _CONFLICT = 409
 _BAD_REQUEST = 400
@@ -28,7 +28,7 @@
     changes: list[Change]
 
 
-class OperatorsApi(resource.Resource):
+class OperatorResource(resource.Resource):
     """Reads and writes resources, and shows what the fleet does.
 
     Parameters
--- a/turnward/operators/states.py
+++ b/turnward/operators/states.py
@@ -77,7 +77,7 @@
             "row_state": str(row.state),
             "buddies": list(row.buddies),
             "status": status,
-            "advice": _row_advice(row, status),
+            "advice": _router_advice(row, status),
         }
 
     async def _status(self, row: RouterRow) -> dict[str, Any] | None:
@@ -135,7 +135,7 @@
         return {"in_force_here": self._context.config.revision >= version}
 
 
-def _row_advice(row: RouterRow, status) -> list[str]:
+def _router_advice(row: RouterRow, status) -> list[str]:
     if row.state is RouterState.FENCED:
         return [f"recovery by {row.recoverer} is under way; see docs/operators/dead-router.md"]
     if row.writable and status is None:
--- a/turnward/resources/tests/test_log.py
+++ b/turnward/resources/tests/test_log.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1])
-def test_change_whose_answer_is_lost_is_accepted_once(lost):
+def test_change_with_lost_response_is_accepted_once(lost):
     table = FaultyTable(MemoryTable())
     log = ConfigLog(table)
     table.lose_answers = lost
@@ -28,7 +28,7 @@
     assert len(run(log.entries_after(0))) == 2
 
 
-def test_second_of_two_racing_changes_is_refused():
+def test_second_of_two_conflicting_changes_is_rejected():
     table = MemoryTable()
     run(ConfigLog(table).apply([budget(100)], 0.0))
     run(ConfigLog(table).apply([budget(200, expected_version=1)], 0.0))
@@ -36,7 +36,7 @@
         run(ConfigLog(table).apply([budget(300, expected_version=1)], 0.0))
 
 
-def test_faulty_change_keeps_the_good_ones_of_its_batch_out():
+def test_invalid_change_rejects_the_whole_batch():
     log = ConfigLog(MemoryTable())
     workspace = {"name": "w", "key_sha256": "a" * 64, "budget": "none", "priority_class": "p"}
     with pytest.raises(SettingsError) as caught:
@@ -45,7 +45,7 @@
     assert run(log.head()) == 0
 
 
-def test_loaded_state_equals_the_log_played_from_the_start():
+def test_loaded_state_equals_the_replayed_log():
     log = ConfigLog(MemoryTable())
     model = {"name": "m", "default_output_tokens": 5}
     run(log.apply([Change("models", "m", model), budget(10)], 0.0))
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -11,7 +11,7 @@
 from turnward.events import EventLog, HybridClock, Metrics, SystemClock, get_log, matches
 from turnward.fleet import RouterRow, RouterState
 from turnward.http import HttpClient
-from turnward.operators.api import OperatorsApi
+from turnward.operators.http_resource import OperatorResource
 from turnward.operators.states import RouterStatus, StateReader
 from turnward.peers.link import PeerLinks
 from turnward.peers.messages import (
@@ -116,7 +116,7 @@
         settings = self.context.settings
         self.context.peers.listen(settings.peers_address)
         states = StateReader(self.context, self.status)
-        operators = OperatorsApi(self.context, states, self.leave)
+        operators = OperatorResource(self.context, states, self.leave)
         self._listen(settings.operators_address, server.Site(operators))
         await self.start_tasks()
         callers = CallerResource(self.context, self.coordinator)
