--- a/turnward/budgets/tests/test_grants.py
+++ b/turnward/budgets/tests/test_grants.py
@@ -27,14 +27,14 @@
     return run(table.read([budget_key("b")]))[budget_key("b")].value["ungranted_tokens"]
 
 
-def test_takes_of_two_routers_never_pass_the_limit(table):
+def test_two_routers_never_acquire_more_than_the_limit(table):
     stores = [GrantStore(table, "r1"), GrantStore(table, "r2")]
     taken = sum(take(store, 400).get("b", 0) for store in stores * 3)
     assert taken == 800
     assert ungranted(table) == 200
 
 
-def test_stale_view_cannot_take_what_another_took(table):
+def test_stale_view_cannot_acquire_tokens_of_another_router(table):
     first, second = GrantStore(table, "r1"), GrantStore(table, "r2")
     stale = run(second.read_views(["b"]))
     assert take(first, 900) == {"b": 900}
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_lost_answer_of_a_take_is_counted_once(table, lost):
+def test_acquisition_with_a_lost_response_is_counted_once(table, lost):
     faulty = FaultyTable(table)
     store = GrantStore(faulty, "r1")
     take(store, 100)
@@ -66,7 +66,7 @@
     assert ungranted(table) == 900
 
 
-def test_outage_takes_nothing(table):
+def test_nothing_is_acquired_during_a_store_outage(table):
     faulty = FaultyTable(table)
     store = GrantStore(faulty, "r1")
     faulty.down = True
@@ -75,7 +75,7 @@
     assert ungranted(table) == 1_000
 
 
-def test_fenced_router_takes_nothing(table):
+def test_fenced_router_acquires_nothing(table):
     store = GrantStore(table, "r1")
     assert run(RouterRegistry(table).fence("r1", "r2"))
     with pytest.raises(FencedError):
