--- a/turnward/budgets/grants.py
+++ b/turnward/budgets/grants.py
@@ -110,7 +110,11 @@
         return views
 
     def plan_acquire(self, requests: dict[str, GrantRequest], views: dict[str, BudgetView]):
-        """Return the changes for the requests that the budgets' ungranted tokens can satisfy."""
+        """Return changes that satisfy requests from the budgets' ungranted tokens.
+
+        A budget that cannot satisfy its request gets a change that only reports
+        billed tokens, if there are any.
+        """
         changes = []
         for budget, request in requests.items():
             if budget not in views or budget in self._unresolved:
--- a/turnward/claims/pairs.py
+++ b/turnward/claims/pairs.py
@@ -75,7 +75,11 @@
 
 
 class HoldOutcome(StrEnum):
-    """Outcome of asking a holder to record a claim."""
+    """Outcome of asking a holder to record a claim.
+
+    STANDING means that another claim of the same key exists, STALE that the
+    holder does not serve the claim's epoch or that the claim was released.
+    """
 
     HELD = "held"
     STANDING = "standing"
@@ -135,7 +139,7 @@
         """Remove a claim whose call is known not to have run; False if the caller must retry.
 
         The epoch must be the one being served. During a change of holders the
-        claims are in transit, so the next holder would keep the claim.
+        claims are in transit, so a removal here would not reach the next holder.
         """
         if not self.serves(shard, epoch):
             return False
--- a/turnward/claims/register.py
+++ b/turnward/claims/register.py
@@ -30,7 +30,11 @@
 
 
 class ClaimOutcome(StrEnum):
-    """Outcome of writing a claim to the store."""
+    """Outcome of writing a claim to the store.
+
+    STANDING means that another claim of the same request id exists, STALE that
+    the stored epoch of the shard's holders differs from that of the claim.
+    """
 
     TAKEN = "taken"
     STANDING = "standing"
@@ -172,7 +176,7 @@
             waiter.callback(answer)
 
     def keep(self, row: ClaimRow) -> None:
-        """Keep a claim from being removed: its call is sent because its holders recorded it.
+        """Protect a claim from removal; its call may be sent because its holders recorded it.
 
         Its row is written together with the bill, or by a delayed write of the claim.
         """
--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -74,7 +74,7 @@
     book : RecordBook
         Records that this router holds.
     engines : EngineClientBase
-        Asks endpoints for their record of a run.
+        Asks endpoints for the status of a run.
     endpoint_url : callable
         Returns the URL of an endpoint by name, or None if it is not configured.
     is_engine : callable
