--- a/turnward/lifecycle/__init__.py
+++ b/turnward/lifecycle/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""State charts of endpoints and routers."""
+"""State machines of endpoints and routers, defined by state charts."""
 
 from turnward.lifecycle.machine import Chart, ChartError, StateMachine, load_chart
 
--- a/turnward/lifecycle/machine.py
+++ b/turnward/lifecycle/machine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs the state charts in ``charts/``."""
+"""State machines defined by the state charts in ``charts/``."""
 
 from functools import cache
 from pathlib import Path
@@ -15,11 +15,11 @@
 
 
 class ChartError(TurnwardError):
-    """A state chart file is wrong."""
+    """A state chart file is invalid."""
 
 
 class ChartTransition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One arrow of a chart."""
+    """A transition from any of its source states to ``dest``."""
 
     trigger: str
     source: tuple[str, ...]
@@ -27,7 +27,7 @@
 
 
 class Chart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A state chart as its file has it."""
+    """A state chart, as defined in its file."""
 
     initial: str
     states: tuple[str, ...]
@@ -36,38 +36,38 @@
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Read a chart by its name.
+    """Load a state chart by name.
 
     Raises
     ------
     ChartError
-        The file is damaged or names a state that it does not list.
+        The file cannot be decoded, or uses a state that it does not declare.
     """
     text = (_CHARTS / f"{name}.toml").read_bytes()
     try:
         chart = msgspec.toml.decode(text, type=Chart)
-    except msgspec.DecodeError as failure:
-        raise ChartError(f"{name}: {failure}") from failure
-    used = {chart.initial}
-    for arrow in chart.transitions:
-        used.update(arrow.source, (arrow.dest,))
-    if not used <= set(chart.states):
-        raise ChartError(f"{name}: states not listed: {sorted(used - set(chart.states))}")
+    except msgspec.DecodeError as error:
+        raise ChartError(f"{name}: {error}") from error
+    used_states = {chart.initial}
+    for transition in chart.transitions:
+        used_states.update(transition.source, (transition.dest,))
+    if not used_states <= set(chart.states):
+        raise ChartError(f"{name}: undeclared states: {sorted(used_states - set(chart.states))}")
     return chart
 
 
 @cache
 def _shared_machine(name: str) -> Machine:
-    """Return one machine a chart; it serves any number of models."""
+    """Return the machine of a chart, which all state machines of that chart share."""
     chart = load_chart(name)
-    arrows = [
-        {"trigger": arrow.trigger, "source": list(arrow.source), "dest": arrow.dest}
-        for arrow in chart.transitions
+    transitions = [
+        {"trigger": transition.trigger, "source": list(transition.source), "dest": transition.dest}
+        for transition in chart.transitions
     ]
     return Machine(
         model=None,
         states=list(chart.states),
-        transitions=arrows,
+        transitions=transitions,
         initial=chart.initial,
         auto_transitions=False,
         ignore_invalid_triggers=True,
@@ -75,7 +75,7 @@
 
 
 class StateMachine:
-    """One thing's state under a chart; triggers that do not apply are ignored.
+    """The current state under a chart; triggers without a transition from it are ignored.
 
     Examples
     --------
@@ -95,9 +95,9 @@
         self.state = load_chart(chart_name).initial
 
     def fire(self, trigger: str) -> bool:
-        """Apply a trigger; True when the state changed."""
+        """Apply a trigger; return whether there was a transition for it."""
         machine = _shared_machine(self._chart)
-        for arrow in machine.get_transitions(trigger, self.state):
-            self.state = arrow.dest
+        for transition in machine.get_transitions(trigger, self.state):
+            self.state = transition.dest
             return True
         return False
