--- a/turnward/router/__init__.py
+++ b/turnward/router/__init__.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One router process: its tasks and what they share.
+"""The router process: its tasks and the context they share.
 
-``RouterProcess`` is not imported here, since the faces it builds import parts of
-this package.
+``RouterProcess`` is not imported here to avoid an import cycle: the HTTP interfaces
+that it builds import from this package.
 """
 
 from turnward.router.context import RouterContext
--- a/turnward/router/bill_task.py
+++ b/turnward/router/bill_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Writes bills and drops run records that are billed."""
+"""Writes bills to the store, and releases the run records that they cover."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -10,25 +10,24 @@
 
 __all__ = ["AddBill", "BillTask", "FlushBills"]
 
-#: Seconds between looks at the waiting bills.
-TICK_S = 0.1
+PERIOD_S = 0.1
 
 
 class AddBill(msgspec.Struct, frozen=True, eq=False):
-    """A run has ended; ``record`` is dropped once the bill stands."""
+    """Queue the bill of a finished run; ``record`` is released once the bill is stored."""
 
     bill: Bill
     record: RunRecord
 
 
 class FlushBills(msgspec.Struct, frozen=True, eq=False):
-    """Write everything; the answer is how many bills still wait."""
+    """Write all pending bills; the answer is the number that is still pending."""
 
     answer: Deferred
 
 
 class BillTask(TaskBase):
-    """Owns the unwritten bills."""
+    """Owns the bills that are not stored yet."""
 
     log_prefix = "bills"
 
@@ -41,8 +40,8 @@
         records,
         on_fenced,
     ):
-        super().__init__(context.reactor, TICK_S, on_fenced)
-        self._flushed_s = context.now_s()
+        super().__init__(context.reactor, PERIOD_S, on_fenced)
+        self._last_flush_s = context.now_s()
         self._context = context
         self.writer = writer
         self._ledger = ledger
@@ -58,19 +57,19 @@
         flushes = [message for message in messages if isinstance(message, FlushBills)]
         try:
             if flushes or (Tick() in messages and self._is_due()):
-                self._flushed_s = self._context.now_s()
+                self._last_flush_s = self._context.now_s()
                 await self._flush()
         finally:
             for message in flushes:
                 message.answer.callback(len(self.writer.pending))
 
     def _is_due(self) -> bool:
-        """Tell whether to write now: a whole batch, a claim's outcome, or after a while."""
-        waited_s = self._context.now_s() - self._flushed_s
+        """Return whether a full batch or an urgent bill waits, or the flush interval is over."""
+        waited_s = self._context.now_s() - self._last_flush_s
         return self.writer.has_urgent() or waited_s >= self._context.settings.bill_flush_s
 
     def take_unwritten(self) -> list[AddBill]:
-        """Return the bills not known to stand, for the next incarnation."""
+        """Return the bills not known to be stored, for the next incarnation to write."""
         unwritten = []
         for bill in self.writer.pending:
             for record in self._billed_records.get(bill.key, []):
@@ -80,43 +79,43 @@
     def _add(self, message: AddBill) -> None:
         self._billed_records.setdefault(message.bill.key, []).append(message.record)
         if not self.writer.add(message.bill):
-            self._drop_double(message.bill)
+            self._drop_duplicate(message.bill)
 
     async def _flush(self) -> None:
-        done = await self.writer.flush()
-        for bill in done.written:
-            self._note_written(bill)
-        for bill, standing in done.doubled:
-            self._note_doubled(bill, standing)
-        for bill in done.orphaned:
-            self._draw_anew(bill)
-
-    def _note_written(self, bill: Bill) -> None:
+        result = await self.writer.flush()
+        for bill in result.written:
+            self._on_written(bill)
+        for bill, stored_row in result.doubled:
+            self._on_duplicate(bill, stored_row)
+        for bill in result.orphaned:
+            self._move_to_own_grant(bill)
+
+    def _on_written(self, bill: Bill) -> None:
         if bill.row.incarnation == self.writer.incarnation:
             self._store.note_billed(bill.row.budget, bill.row.tokens)
         self._context.metrics.count("bills.written")
         self._emit("bill.written", bill)
-        self._release(bill)
+        self._release_records(bill)
 
-    def _note_doubled(self, bill: Bill, standing) -> None:
-        if standing.fingerprint != bill.row.fingerprint:
+    def _on_duplicate(self, bill: Bill, stored_row) -> None:
+        if stored_row.fingerprint != bill.row.fingerprint:
             request_id = f"{bill.row.request_id}~{bill.row.fingerprint}"
             row = msgspec.structs.replace(bill.row, request_id=request_id)
-            other = Bill(row, bill.extra_writes)
-            self._billed_records[other.key] = self._billed_records.pop(bill.key, [])
-            self.writer.add(other)
+            renamed_bill = Bill(row, bill.extra_writes)
+            self._billed_records[renamed_bill.key] = self._billed_records.pop(bill.key, [])
+            self.writer.add(renamed_bill)
             return
-        self._drop_double(bill)
-        self._release(bill)
+        self._drop_duplicate(bill)
+        self._release_records(bill)
 
-    def _drop_double(self, bill: Bill) -> None:
+    def _drop_duplicate(self, bill: Bill) -> None:
         if bill.row.incarnation == self.writer.incarnation:
             self._ledger.unsettle(bill.row.budget, bill.row.tokens)
         self._context.metrics.count("bills.doubled")
         self._emit("bill.doubled", bill)
 
-    def _draw_anew(self, bill: Bill) -> None:
-        """Draw a bill whose grant is closed on this incarnation's own grant."""
+    def _move_to_own_grant(self, bill: Bill) -> None:
+        """Charge a bill whose grant is closed to the grant of this incarnation."""
         now_s = self._context.now_s()
         reserved = self._ledger.reserve(bill.row.budget, bill.row.tokens, now_s)
         if reserved.is_error():
@@ -127,7 +126,7 @@
         row = msgspec.structs.replace(bill.row, incarnation=self.writer.incarnation)
         self.writer.add(Bill(row, bill.extra_writes))
 
-    def _release(self, bill: Bill) -> None:
+    def _release_records(self, bill: Bill) -> None:
         for record in self._billed_records.pop(bill.key, []):
             self._records.put(msgspec.structs.replace(record, state=RecordState.BILLED))
 
--- a/turnward/router/claim_task.py
+++ b/turnward/router/claim_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Writes claims before calls that may not be repeated."""
+"""Writes claims to the store before calls that must not run twice."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -11,7 +11,7 @@
 
 
 class TakeClaim(msgspec.Struct, frozen=True, eq=False):
-    """A call waits for its claim; the answer is a ``ClaimAnswer``."""
+    """Take the claim of a waiting call; the answer is a ``ClaimAnswer``."""
 
     row: ClaimRow
     epoch: int
@@ -19,19 +19,19 @@
 
 
 class ReleaseClaim(msgspec.Struct, frozen=True, eq=False):
-    """The claimed call was proved not to have run."""
+    """Release the claim of a call that is known not to have run."""
 
     row: ClaimRow
 
 
 class KeepClaim(msgspec.Struct, frozen=True, eq=False):
-    """The call goes out although the table did not answer."""
+    """Keep the claim of a call that is made although the table did not respond."""
 
     row: ClaimRow
 
 
 class ClaimTask(TaskBase):
-    """Owns the claim register; claims that come while one write runs share the next."""
+    """Owns the claim register; claims that arrive during a write are batched into the next."""
 
     log_prefix = "claims"
 
@@ -51,10 +51,10 @@
             elif isinstance(message, KeepClaim):
                 self.register.keep(message.row)
         await self.register.flush()
-        released = any(isinstance(message, ReleaseClaim | Tick) for message in messages)
-        if released and self.register.abandoned_count:
+        may_release = any(isinstance(message, ReleaseClaim | Tick) for message in messages)
+        if may_release and self.register.abandoned_count:
             await self.register.release_abandoned()
 
-    def _answer(self, result: ClaimAnswer, waiter: Deferred) -> None:
-        if not waiter.called:
-            waiter.callback(result)
+    def _answer(self, result: ClaimAnswer, answer: Deferred) -> None:
+        if not answer.called:
+            answer.callback(result)
--- a/turnward/router/config_task.py
+++ b/turnward/router/config_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Brings the configuration in force: from the table, or from a peer when cut off."""
+"""Keeps the configuration up to date, from the table or, when it is unreachable, a peer."""
 
 import msgspec
 
@@ -10,19 +10,19 @@
 
 __all__ = ["ConfigTask", "PeerRevision"]
 
-#: Entries kept for peers that are cut off from the store.
-KEPT_ENTRIES = 2_000
+#: Log entries retained for peers that cannot reach the store.
+RETAINED_ENTRIES = 2_000
 
 
 class PeerRevision(msgspec.Struct, frozen=True):
-    """A peer holds a revision."""
+    """A peer announced its configuration revision."""
 
     incarnation: str
     revision: int
 
 
 class ConfigTask(TaskBase):
-    """Owns the configuration in force; it only moves forward."""
+    """Owns the current configuration, whose revision never decreases."""
 
     log_prefix = "config"
 
@@ -30,64 +30,64 @@
         super().__init__(context.reactor, context.settings.config_poll_s)
         self._context = context
         self._log = ConfigLog(context.table)
-        self._kept: dict[int, LogEntry] = {}
+        self._retained: dict[int, LogEntry] = {}
         self.loaded = False
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
         try:
-            await self._follow_table()
+            await self._catch_up_from_table()
         except PlatformError:
             offers = [message for message in messages if isinstance(message, PeerRevision)]
             if not offers:
                 raise
-            await self._follow_peer(max(offers, key=lambda offer: offer.revision))
+            await self._catch_up_from_peer(max(offers, key=lambda offer: offer.revision))
 
     async def load(self) -> None:
-        """Load the whole configuration once, at start."""
+        """Load the complete configuration at startup."""
         self._context.config = await self._log.load()
         self.loaded = True
         self._context.apply_config()
         self._emit()
 
-    async def _follow_table(self) -> None:
+    async def _catch_up_from_table(self) -> None:
         if not self.loaded:
             await self.load()
             return
         while await self._log.head() > self._context.config.revision:
             entries = await self._log.entries_after(self._context.config.revision)
-            if not self._take(entries):
+            if not self._apply(entries):
                 return
 
-    async def _follow_peer(self, offer: PeerRevision) -> None:
+    async def _catch_up_from_peer(self, offer: PeerRevision) -> None:
         row = self._context.rows.get(offer.incarnation)
         if row is None or not self.loaded or offer.revision <= self._context.config.revision:
             return
-        ask = ConfigAsk(self._context.config.revision)
-        answer = await self._context.peers.ask(row.peers_address, offer.incarnation, ask)
+        request = ConfigAsk(self._context.config.revision)
+        answer = await self._context.peers.ask(row.peers_address, offer.incarnation, request)
         if isinstance(answer, ConfigDelta):
             entries = [msgspec.json.decode(entry.body, type=LogEntry) for entry in answer.entries]
-            self._take(entries)
+            self._apply(entries)
 
     def entries_after(self, revision: int) -> ConfigDelta:
-        """Return the kept entries past a revision, for a peer."""
+        """Return the retained log entries after a revision, for a peer."""
         entries = []
-        while revision + 1 in self._kept:
+        while revision + 1 in self._retained:
             revision += 1
-            entries.append(ConfigEntry(revision, msgspec.json.encode(self._kept[revision])))
+            entries.append(ConfigEntry(revision, msgspec.json.encode(self._retained[revision])))
         return ConfigDelta(tuple(entries))
 
-    def _take(self, entries: list[LogEntry]) -> bool:
-        moved = False
+    def _apply(self, entries: list[LogEntry]) -> bool:
+        changed = False
         for entry in entries:
             if self._context.config.take(entry):
-                moved = True
-                self._kept[entry.revision] = entry
-                self._kept.pop(entry.revision - KEPT_ENTRIES, None)
-        if moved:
+                changed = True
+                self._retained[entry.revision] = entry
+                self._retained.pop(entry.revision - RETAINED_ENTRIES, None)
+        if changed:
             self._context.apply_config()
             self._emit()
-        return moved
+        return changed
 
     def _emit(self) -> None:
         revision = self._context.config.revision
--- a/turnward/router/context.py
+++ b/turnward/router/context.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What the parts of one router process share."""
+"""Settings, clients and state that the tasks of a router process share."""
 
 from collections import Counter
 
@@ -26,15 +26,15 @@
 __all__ = ["SUBSET_SIZE", "RouterContext", "choose_subset"]
 
 
-#: Endpoints of one pool that a router looks after.
+#: Most endpoints of a pool that one router uses.
 SUBSET_SIZE = 32
 
 
 def choose_subset(instance: str, zone: str, endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Return the endpoints a router works with, at most ``SUBSET_SIZE`` a pool.
+    """Return the endpoints that a router uses, at most ``SUBSET_SIZE`` per pool.
 
-    Those of its own zone come first, then by rendezvous weight, so that load
-    spreads evenly over routers and a new endpoint moves few others.
+    Endpoints in the router's zone come first. Within a zone, rendezvous hashing spreads
+    load evenly over routers and limits the changes when an endpoint is added.
     """
     pools: dict[str, list[Endpoint]] = {}
     for endpoint in endpoints:
@@ -51,22 +51,22 @@
 
 
 class RouterContext:
-    """One router's settings, clients and views.
+    """Settings, clients and state of one router.
 
     Attributes
     ----------
     registry : RouterRegistry
-        The router rows; one view for the process.
+        Reads and writes router rows; shared by the whole process.
     pairs : PairTask or None
-        Takes claims at the pairs of holders; set by the router process.
+        Takes claims at their holders; set by the router process.
     config : ConfigState
-        The configuration in force.
+        The current configuration.
     rows : dict of str to RouterRow
         Router rows as last read, by incarnation.
-    listed : set of str or None
-        Instances on the platform's list as last read; None when it can't be read.
+    listed_instances : set of str or None
+        Instances on the platform's list as last read; None when it was unreadable.
     last_heartbeat_s : dict of str to float
-        When a heartbeat of an incarnation last came, in monotonic seconds.
+        Monotonic time in seconds of the last heartbeat of each incarnation.
     """
 
     def __init__(
@@ -105,10 +105,10 @@
         self.listed_instances: set[str] | None = None
         self._pool_sizes: Counter[str] = Counter()
         self._queues: dict[str, AdmissionQueue] = {}
-        self._retries: dict[str, RetryBudget] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
 
     def pause(self, seconds: float) -> defer.Deferred:
-        """Return a deferred that fires after so many seconds."""
+        """Return a deferred that fires after the given delay."""
         return task.deferLater(self.reactor, seconds)
 
     def now_s(self) -> float:
@@ -116,7 +116,7 @@
         return self.clock.now_s()
 
     def live_rows(self) -> list[RouterRow]:
-        """Return the rows of routers that may write."""
+        """Return the rows of routers that are allowed to write."""
         return [row for row in self.rows.values() if row.writable]
 
     def queue(self, pool: str) -> AdmissionQueue:
@@ -129,17 +129,17 @@
         return queue
 
     def refresh_queue(self, pool: str) -> None:
-        """Set a queue's classes and slots from the configuration and the fleet."""
+        """Update a queue's classes and slots from the configuration and the fleet's size."""
         queue = self._queues.get(pool)
         if queue is None:
             return
         queue.set_classes(self.config.resources.by_kind["priority_classes"])
         slots = sum(view.endpoint.slots for view in self.views.candidates(pool))
-        own = max(1, len(self.views.pool(pool)))
-        whole_pool = slots * max(own, self._pool_sizes[pool]) / own
+        subset_size = max(1, len(self.views.pool(pool)))
+        pool_slots = slots * max(subset_size, self._pool_sizes[pool]) / subset_size
         routers = max(1, len(self.live_rows()))
         self.policy.fleet_size = routers
-        queue.set_slots(admission_slots(whole_pool, routers))
+        queue.set_slots(admission_slots(pool_slots, routers))
         queue.dispatch(self.now_s())
 
     def refresh_queues(self) -> None:
@@ -149,14 +149,14 @@
 
     def retry_budget(self, workspace: str, share: float) -> RetryBudget:
         """Return the retry budget of a workspace."""
-        if workspace not in self._retries:
-            self._retries[workspace] = RetryBudget(share)
-        return self._retries[workspace]
+        if workspace not in self._retry_budgets:
+            self._retry_budgets[workspace] = RetryBudget(share)
+        return self._retry_budgets[workspace]
 
     def apply_config(self) -> None:
-        """Bring the views in line with the configuration in force."""
+        """Update endpoint views and admission queues from the current configuration."""
         endpoints = self.config.resources.by_kind["endpoints"].values()
-        chosen = choose_subset(self.settings.instance, self.settings.zone, list(endpoints))
-        self.views.set_endpoints(chosen, self.now_s())
+        subset = choose_subset(self.settings.instance, self.settings.zone, list(endpoints))
+        self.views.set_endpoints(subset, self.now_s())
         self._pool_sizes = Counter(endpoint.pool for endpoint in endpoints)
         self.refresh_queues()
