--- a/turnward/router/core.py
+++ b/turnward/router/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Everything that belongs to one incarnation of a router."""
+"""State and tasks that belong to one incarnation of a router."""
 
 from turnward.budgets import BillWriter, GrantLedger, GrantStore, SizingRule
 from turnward.claims import ClaimRegister
@@ -16,7 +16,7 @@
 
 
 def new_incarnation(instance: str) -> str:
-    """Return a new incarnation's id."""
+    """Return a unique incarnation id for an instance."""
     return f"{instance}.{new_id().replace('-', '')[-_SUFFIX_LENGTH:]}"
 
 
@@ -26,9 +26,9 @@
     Attributes
     ----------
     fenced : bool
-        The incarnation has lost its right to write.
+        Whether the incarnation is fenced, so that its writes are rejected.
     successor : RouterCore or None
-        The incarnation that writes this one's remaining bills.
+        The next incarnation, which writes the remaining bills of this one.
     """
 
     def __init__(self, context: RouterContext, incarnation: str, on_fenced):
@@ -38,15 +38,15 @@
         self.fenced = False
         self.successor: RouterCore | None = None
         self._on_fenced = on_fenced
-        rule = SizingRule(settings.grant_horizon_s, settings.grant_minimum_tokens)
-        self.ledger = GrantLedger(rule)
-        store = GrantStore(context.table, incarnation, rule.share)
+        sizing_rule = SizingRule(settings.grant_horizon_s, settings.grant_minimum_tokens)
+        self.ledger = GrantLedger(sizing_rule)
+        store = GrantStore(context.table, incarnation, sizing_rule.share)
         writer = BillWriter(context.table, incarnation)
         register = ClaimRegister(context.table, incarnation)
-        self.records = RecordTask(context, incarnation, self._lose)
-        self.grants = GrantTask(context, self.ledger, store, self._lose)
-        self.bills = BillTask(context, writer, self.ledger, store, self.records, self._lose)
-        self.claims = ClaimTask(context, register, self._lose)
+        self.records = RecordTask(context, incarnation, self._mark_fenced)
+        self.grants = GrantTask(context, self.ledger, store, self._mark_fenced)
+        self.bills = BillTask(context, writer, self.ledger, store, self.records, self._mark_fenced)
+        self.claims = ClaimTask(context, register, self._mark_fenced)
         self.tasks = (self.records, self.grants, self.bills, self.claims)
 
     def start(self) -> None:
@@ -60,20 +60,20 @@
             task.stop()
 
     def hand_over(self, successor: "RouterCore") -> None:
-        """Give the unwritten bills to the next incarnation."""
+        """Stop, and move the unwritten bills to the next incarnation."""
         self.stop()
         self.successor = successor
         for message in self.bills.take_unwritten():
             successor.add_bill(message)
 
     def add_bill(self, message) -> None:
-        """Queue a bill here, or with the incarnation that writes for this one."""
+        """Queue a bill here or, after ``hand_over``, with the successor."""
         if self.successor is not None:
             self.successor.add_bill(message)
         else:
             self.bills.tell(message)
 
-    def _lose(self) -> None:
+    def _mark_fenced(self) -> None:
         if not self.fenced:
             self.fenced = True
             self._on_fenced(self)
--- a/turnward/router/endpoint_task.py
+++ b/turnward/router/endpoint_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Asks model engines for their load; plain services report none and are not asked."""
+"""Polls model engines for load reports; plain services have none and are not polled."""
 
 from twisted.internet import defer
 
@@ -8,19 +8,18 @@
 
 __all__ = ["EndpointTask"]
 
-#: Age in seconds at which a load report is renewed.
-STALE_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 class EndpointTask(TaskBase):
-    """Owns the questions to endpoints; one question at a time to each."""
+    """Polls the endpoints, each with at most one request at a time."""
 
     log_prefix = "endpoints"
 
     def __init__(self, context):
         super().__init__(context.reactor, 0.5)
         self._context = context
-        self._asking: set[str] = set()
+        self._polling: set[str] = set()
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
@@ -30,18 +29,18 @@
             if not self._is_engine(view):
                 self._context.views.retry_suspect(view, now_s)
                 continue
-            stale = view.report is None or now_s - view.reported_s >= STALE_S
-            if stale and view.name not in self._asking:
-                self._asking.add(view.name)
-                defer.ensureDeferred(self._ask(view))
+            stale = view.report is None or now_s - view.reported_s >= REPORT_INTERVAL_S
+            if stale and view.name not in self._polling:
+                self._polling.add(view.name)
+                defer.ensureDeferred(self._poll(view))
         self._context.refresh_queues()
 
     def _is_engine(self, view) -> bool:
         pool = self._context.config.resources.get("pools", view.endpoint.pool)
         return pool is not None and pool.kind == "engine"
 
-    async def _ask(self, view) -> None:
-        before = view.machine.state
+    async def _poll(self, view) -> None:
+        state_before = view.machine.state
         try:
             report = await self._context.engines.load(view.endpoint.url)
         except EndpointError:
@@ -49,8 +48,8 @@
         else:
             self._context.views.report_received(view, report, self._context.now_s())
         finally:
-            self._asking.discard(view.name)
-        if view.machine.state != before:
+            self._polling.discard(view.name)
+        if view.machine.state != state_before:
             self._context.events.emit(
                 "endpoint.state", endpoint=view.name, state=view.machine.state
             )
--- a/turnward/router/event_task.py
+++ b/turnward/router/event_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Ships events to the object store, so that they outlive the instance."""
+"""Uploads events to the object store, so that they remain when the instance is gone."""
 
 import zlib
 
@@ -12,12 +12,12 @@
 __all__ = ["EVENTS_PREFIX", "EventTask"]
 
 EVENTS_PREFIX = "events/"
-#: Events of requests that went as usual.
+#: Kinds of frequent events, of which only a sample is uploaded.
 ROUTINE_KINDS = frozenset({"request.routed", "request.sent", "bill.written"})
 
 
 class EventTask(TaskBase):
-    """Owns the events that are not shipped yet."""
+    """Uploads new events at regular intervals."""
 
     log_prefix = "events"
 
@@ -44,5 +44,5 @@
 
 
 def _in_sample(request_id: str, sample: int) -> bool:
-    """Tell whether a request's routine events are shipped; the same in every router."""
+    """Return whether a request's routine events are uploaded; equal in all routers."""
     return zlib.crc32(request_id.encode()) % sample == 0
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Keeps the router's grants in step with demand."""
+"""Adjusts the router's token grants to demand."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -11,19 +11,18 @@
 __all__ = ["GrantTask", "ReturnTokens", "RequestTokens"]
 
 
-#: Seconds between looks at every held budget.
-TEND_S = 1.0
+REVIEW_INTERVAL_S = 1.0
 
 
 class RequestTokens(msgspec.Struct, frozen=True, eq=False):
-    """A request waits for tokens; the answer is True when it is worth trying again."""
+    """Take a grant for a waiting request; the answer is True when it should retry."""
 
     budget: str
     answer: Deferred
 
 
 class ReturnTokens(msgspec.Struct, frozen=True, eq=False):
-    """Give every free token back; the answer is how many are still held."""
+    """Return all free tokens; the answer is the number of tokens that are still held."""
 
     answer: Deferred
 
@@ -36,7 +35,8 @@
     context : RouterContext
         The router's shared parts.
     ledger : GrantLedger
-        Reservations are made on it by the flights; this task adds and withdraws.
+        Holds the granted tokens; requests reserve them, and this task adds and withdraws
+        them.
     store : GrantStore
         The grant rows.
     """
@@ -49,50 +49,50 @@
         self.ledger = ledger
         self.store = store
         self._returning: dict[str, int] = {}
-        self._tended_s = float("-inf")
+        self._last_review_s = float("-inf")
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
         waiters = [message for message in messages if isinstance(message, RequestTokens)]
         try:
             await self._resolve()
-            await self._take()
+            await self._take_grants()
         finally:
             for waiter in waiters:
                 if not waiter.answer.called:
                     waiter.answer.callback(True)
-        if Tick() in messages and self._context.now_s() - self._tended_s >= TEND_S:
-            await self._tend()
+        if Tick() in messages and self._context.now_s() - self._last_review_s >= REVIEW_INTERVAL_S:
+            await self._review()
         for message in messages:
             if isinstance(message, ReturnTokens):
                 await self._return_all(message)
 
-    async def _take(self) -> None:
+    async def _take_grants(self) -> None:
         now_s = self._context.now_s()
-        asks = self.ledger.plan_grants(now_s)
-        if not asks:
+        token_requests = self.ledger.plan_grants(now_s)
+        if not token_requests:
             return
-        views = await self.store.read_views(list(asks))
+        views = await self.store.read_views(list(token_requests))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        taken = await self.store.apply(self.store.plan_take(asks, views))
-        for budget in asks:
+        taken_tokens = await self.store.apply(self.store.plan_take(token_requests, views))
+        for budget in token_requests:
             self.ledger.clear_wanted(budget)
-        for budget, tokens in taken.items():
+        for budget, tokens in taken_tokens.items():
             if tokens:
                 self.ledger.add(budget, tokens)
                 self._context.metrics.count("grants.taken_tokens", tokens)
                 self._context.events.emit("grant.taken", budget=budget, tokens=tokens)
 
-    async def _tend(self) -> None:
-        """Look at every held budget: what can go back, what others should see."""
-        now_s = self._tended_s = self._context.now_s()
-        await self._look_again()
-        await self._give_back(self.ledger.plan_returns(now_s))
-        await self._fold()
+    async def _review(self) -> None:
+        """Return surplus tokens, report billed ones, and evict idle budgets."""
+        now_s = self._last_review_s = self._context.now_s()
+        await self._refresh_views()
+        await self._return_tokens(self.ledger.plan_returns(now_s))
+        await self._write_billed_tokens()
         self.ledger.evict_idle(now_s)
 
-    async def _look_again(self) -> None:
+    async def _refresh_views(self) -> None:
         now_s = self._context.now_s()
         budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
@@ -103,15 +103,15 @@
         if not self.store.unresolved:
             return
         for budget, delta_tokens in (await self.store.resolve()).items():
-            promised = self._returning.pop(budget, 0)
+            withdrawn_tokens = self._returning.pop(budget, 0)
             if delta_tokens > 0:
                 self.ledger.add(budget, delta_tokens)
-            elif delta_tokens == 0 and promised:
-                self.ledger.add(budget, promised)
+            elif delta_tokens == 0 and withdrawn_tokens:
+                self.ledger.add(budget, withdrawn_tokens)
 
-    async def _give_back(self, spare: dict[str, int]) -> None:
+    async def _return_tokens(self, surplus: dict[str, int]) -> None:
         changes = []
-        for budget, tokens in spare.items():
+        for budget, tokens in surplus.items():
             change = self.store.plan_return(budget, tokens)
             if change is None:
                 continue
@@ -120,25 +120,25 @@
         if not changes:
             return
         try:
-            done = await self.store.apply(changes)
+            applied = await self.store.apply(changes)
         except PlatformError:
-            self._keep([change.budget for change in changes])
+            self._restore_unless_unresolved([change.budget for change in changes])
             raise
         unresolved = {change.budget for change in self.store.unresolved}
         for change in changes:
-            if change.budget in done:
+            if change.budget in applied:
                 tokens = self._returning.pop(change.budget)
                 self._context.events.emit("grant.returned", budget=change.budget, tokens=tokens)
             elif change.budget not in unresolved:
-                self._keep([change.budget])
+                self._restore_unless_unresolved([change.budget])
 
-    def _keep(self, budgets: list[str]) -> None:
+    def _restore_unless_unresolved(self, budgets: list[str]) -> None:
         unresolved = {change.budget for change in self.store.unresolved}
         for budget in budgets:
             if budget not in unresolved:
                 self.ledger.add(budget, self._returning.pop(budget, 0))
 
-    async def _fold(self) -> None:
+    async def _write_billed_tokens(self) -> None:
         changes = [
             self.store.plan_return(budget, 0)
             for budget in self.ledger.budgets()
@@ -147,10 +147,10 @@
         await self.store.apply([change for change in changes if change is not None])
 
     async def _return_all(self, message: ReturnTokens) -> None:
-        spare = {}
+        surplus = {}
         for budget in self.ledger.budgets():
             if self.ledger.free_tokens(budget) > 0 or self.store.unfolded_tokens(budget):
-                spare[budget] = self.ledger.free_tokens(budget)
-        await self._give_back(spare)
-        held = sum(self.ledger.held_tokens(budget) for budget in self.ledger.budgets())
-        message.answer.callback(held)
+                surplus[budget] = self.ledger.free_tokens(budget)
+        await self._return_tokens(surplus)
+        held_tokens = sum(self.ledger.held_tokens(budget) for budget in self.ledger.budgets())
+        message.answer.callback(held_tokens)
