--- a/turnward/router/membership_task.py
+++ b/turnward/router/membership_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Follows the fleet: router rows, buddies, heartbeats, and who has gone silent."""
+"""Tracks the fleet: router rows, buddies, heartbeats and unresponsive routers."""
 
 import msgspec
 
@@ -15,16 +15,16 @@
 
 
 class MembershipTask(TaskBase):
-    """Owns the view of the fleet.
+    """Keeps the view of the fleet up to date, and requests the fencing of silent routers.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        Settings, clients and state of the router.
     config, recovery : TaskBase
-        Told of peers' revisions and of routers to fence.
+        Receive the revisions of peers and the routers to fence.
     core : callable
-        Returns the ``RouterCore`` of now.
+        Returns the current ``RouterCore``.
     """
 
     log_prefix = "fleet"
@@ -36,26 +36,26 @@
         self._recovery = recovery
         self._core = core
         self._registry = context.registry
-        self._read_s = float("-inf")
+        self._last_read_s = float("-inf")
         self._first_seen_s: dict[str, float] = {}
         self._seen_incarnation = ""
 
     async def handle(self, messages):
         """See ``TaskBase.handle``."""
-        await self._beat()
+        await self._send_heartbeats()
         now_s = self._context.now_s()
-        if now_s - self._read_s >= self._context.settings.membership_poll_s:
-            self._read_s = now_s
+        if now_s - self._last_read_s >= self._context.settings.membership_poll_s:
+            self._last_read_s = now_s
             await self._read_fleet()
 
     async def _read_fleet(self) -> None:
         self._context.rows = await self._registry.rows()
         self._context.refresh_queues()
-        await self._watch_own_row()
-        await self._renew_buddies()
-        await self._find_silent()
+        await self._check_own_row()
+        await self._update_buddies()
+        await self._fence_silent_routers()
 
-    async def _watch_own_row(self) -> None:
+    async def _check_own_row(self) -> None:
         core = self._core()
         own = self._context.rows.get(core.incarnation)
         if own is not None:
@@ -64,13 +64,13 @@
         if removed or (own is not None and not own.writable):
             self._on_fenced()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for buddy in self._core().records.buddies:
             row = self._context.rows.get(buddy)
             if row is not None:
-                await self._beat_one(row)
+                await self._send_heartbeat(row)
 
-    async def _beat_one(self, row: RouterRow) -> None:
+    async def _send_heartbeat(self, row: RouterRow) -> None:
         try:
             answer = await self._context.peers.ask(
                 row.peers_address, row.incarnation, Heartbeat(self._context.config.revision)
@@ -82,57 +82,57 @@
             if answer.revision > self._context.config.revision:
                 self._config.tell(PeerRevision(row.incarnation, answer.revision))
 
-    async def _renew_buddies(self) -> None:
+    async def _update_buddies(self) -> None:
         core = self._core()
         own = self._context.rows.get(core.incarnation)
         if own is None or not own.writable:
             return
         current = core.records.buddies
-        chosen = choose_buddies(own, list(self._context.rows.values()), keep=current)
-        if set(chosen) == set(current) == set(own.buddies):
+        new_buddies = choose_buddies(own, list(self._context.rows.values()), keep=current)
+        if set(new_buddies) == set(current) == set(own.buddies):
             return
-        await self._change_buddies(core, own, chosen)
-
-    async def _change_buddies(self, core, own: RouterRow, chosen: tuple[str, ...]) -> None:
-        """Name old and new buddies, copy the open records, then name the new only."""
-        named = tuple(dict.fromkeys((*own.buddies, *core.records.buddies, *chosen)))
-        if set(own.buddies) != set(named):
-            await self._registry.set_field(core.incarnation, "buddies", named)
-        core.records.set_buddies(chosen)
+        await self._change_buddies(core, own, new_buddies)
+
+    async def _change_buddies(self, core, own: RouterRow, new_buddies: tuple[str, ...]) -> None:
+        """List old and new buddies, copy the open records, then list the new ones alone."""
+        all_buddies = tuple(dict.fromkeys((*own.buddies, *core.records.buddies, *new_buddies)))
+        if set(own.buddies) != set(all_buddies):
+            await self._registry.set_field(core.incarnation, "buddies", all_buddies)
+        core.records.set_buddies(new_buddies)
         core.records.tell(None)
-        if all(core.records.outbox.has_first_copy(buddy) for buddy in chosen):
-            await self._registry.set_field(core.incarnation, "buddies", chosen)
-            self._context.events.emit("fleet.buddies", buddies=",".join(chosen))
+        if all(core.records.outbox.has_first_copy(buddy) for buddy in new_buddies):
+            await self._registry.set_field(core.incarnation, "buddies", new_buddies)
+            self._context.events.emit("fleet.buddies", buddies=",".join(new_buddies))
 
-    async def _find_silent(self) -> None:
-        listed_instances = self._context.listed_instances = await self._listed()
+    async def _fence_silent_routers(self) -> None:
+        listed_instances = self._context.listed_instances = await self._read_instance_list()
         for row in list(self._context.rows.values()):
             if not row.writable or row.incarnation == self._core().incarnation:
                 continue
-            off_list = listed_instances is not None and row.instance not in listed_instances
-            limit_s = self._silence_limit_s(row, off_list)
-            if limit_s is not None and await self._is_gone(row, limit_s):
+            unlisted = listed_instances is not None and row.instance not in listed_instances
+            limit_s = self._silence_limit_s(row, unlisted)
+            if limit_s is not None and await self._is_unresponsive(row, limit_s):
                 self._recovery.tell(FenceRouter(row.incarnation))
 
-    async def _listed(self) -> set[str] | None:
+    async def _read_instance_list(self) -> set[str] | None:
         try:
             entries = await self._context.instance_list.instances()
         except PlatformError:
             return None
         return {entry.instance for entry in entries}
 
-    def _silence_limit_s(self, row: RouterRow, off_list: bool) -> float | None:
-        """Return the silence after which this router fences another; None for never.
+    def _silence_limit_s(self, row: RouterRow, unlisted: bool) -> float | None:
+        """Return the silence after which this router fences another, or None for never.
 
-        Named buddies act first. When they may be gone as well, the others act
-        one after the other, so that two seldom race and none is waited for.
+        Buddies act first. When they may have failed as well, the other routers act
+        at staggered times, so that they rarely race and none is a single point of failure.
         """
         settings = self._context.settings
         if self._core().incarnation in row.buddies:
-            return settings.gone_after_s if off_list else settings.fence_listed_after_s
+            return settings.gone_after_s if unlisted else settings.fence_listed_after_s
         rows = self._context.rows
         has_buddy = any(name in rows and rows[name].writable for name in row.buddies)
-        if has_buddy and not off_list:
+        if has_buddy and not unlisted:
             return None
         rank = self._rank_for(row)
         return settings.fence_listed_after_s + rank * settings.gone_after_s
@@ -143,15 +143,15 @@
         own = self._core().incarnation
         return names.index(own) if own in names else len(names)
 
-    async def _is_gone(self, row: RouterRow, limit_s: float) -> bool:
+    async def _is_unresponsive(self, row: RouterRow, limit_s: float) -> bool:
         now_s = self._context.now_s()
         first_s = self._first_seen_s.setdefault(row.incarnation, now_s)
         silent_s = now_s - self._context.last_heartbeat_s.get(row.incarnation, first_s)
-        if silent_s < limit_s or await self._answers(row):
+        if silent_s < limit_s or await self._responds(row):
             return False
-        return not await self._heard_by_others(row, limit_s)
+        return not await self._responds_to_buddies(row, limit_s)
 
-    async def _answers(self, row: RouterRow) -> bool:
+    async def _responds(self, row: RouterRow) -> bool:
         try:
             await self._context.peers.ask(
                 row.peers_address, row.incarnation, Heartbeat(self._context.config.revision)
@@ -161,7 +161,7 @@
         self._context.last_heartbeat_s[row.incarnation] = self._context.now_s()
         return True
 
-    async def _heard_by_others(self, row: RouterRow, limit_s: float) -> bool:
+    async def _responds_to_buddies(self, row: RouterRow, limit_s: float) -> bool:
         for buddy in row.buddies:
             other = self._context.rows.get(buddy)
             if other is None or not other.writable or buddy == self._core().incarnation:
--- a/turnward/router/pair_task.py
+++ b/turnward/router/pair_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Keeps the pairs of claim holders, and takes claims at them."""
+"""Assigns pairs of holders to the claim shards, and takes claims at these holders."""
 
 import msgspec
 from twisted.internet import defer
@@ -37,14 +37,14 @@
 
 __all__ = ["RefreshShards", "PairTask", "ReleaseAtHolders", "ClaimAtHolders"]
 
-#: Seconds between looks at the shards when nothing in the fleet has changed.
-LOOK_S = 30.0
+#: Time between reads of the shard rows while the fleet is unchanged.
+POLL_INTERVAL_S = 30.0
 
 
 class ClaimAtHolders(msgspec.Struct, frozen=True, eq=False):
-    """A call waits until both holders have its claim.
+    """Record the claim of a waiting call at both holders.
 
-    The answer is a ``HoldAnswer`` with the epoch it was given at.
+    The answer is a ``HoldAnswer`` with the epoch at which the holders gave it.
     """
 
     row: ClaimRow
@@ -52,24 +52,24 @@
 
 
 class ReleaseAtHolders(msgspec.Struct, frozen=True):
-    """The claimed call was proved not to have run."""
+    """Release the claim of a call that is known not to have run."""
 
     row: ClaimRow
 
 
 class RefreshShards(msgspec.Struct, frozen=True):
-    """A shard's row proved to be another than the one known here."""
+    """Read the shard rows again, since a cached row proved outdated."""
 
 
 class PairTask(TaskBase):
-    """Owns the shards this process holds and its view of all shards' rows.
+    """Owns the shards that this process holds and the cached rows of all shards.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        Settings, clients and state of the router.
     core : callable
-        Returns the ``RouterCore`` of now.
+        Returns the current ``RouterCore``.
     """
 
     log_prefix = "pairs"
@@ -80,8 +80,8 @@
         self._core = core
         self.holder = ClaimHolder()
         self._rows: dict[int, ShardRow] = {}
-        self._looked_s = float("-inf")
-        self._seen_rows: dict | None = None
+        self._last_poll_s = float("-inf")
+        self._last_router_rows: dict | None = None
         self._stale = True
         self._unreleased: dict[str, ClaimRow] = {}
 
@@ -95,17 +95,17 @@
                 self._unreleased[key] = message.row
             elif isinstance(message, RefreshShards):
                 self.mark_stale()
-        # First what needs no store: during an outage the rest fails.
+        # Releases need no store, and must not be skipped when the calls below fail.
         await self._release()
         if self._context.machine.state in ("serving", "leaving") and self._is_due():
-            await self._look_and_tend()
+            await self._read_and_maintain()
 
     def row_of(self, key: str) -> ShardRow | None:
         """Return the row of a claim's shard as last read."""
         return self._rows.get(shard_of(key))
 
     def blocked_shards(self) -> list[int]:
-        """Return shards with a holder that is not live, as far as known here."""
+        """Return the shards that, by the cached rows, have a holder that is not live."""
         return [
             shard
             for shard, row in self._rows.items()
@@ -113,31 +113,31 @@
         ]
 
     def mark_stale(self) -> None:
-        """Have the shards' rows read again at the next turn."""
+        """Have the shard rows read again when the next batch of messages is handled."""
         self._stale = True
 
     def _is_due(self) -> bool:
-        waited_s = self._context.now_s() - self._looked_s
-        changed = self._context.rows != self._seen_rows
-        return self._stale or changed or waited_s >= LOOK_S
+        waited_s = self._context.now_s() - self._last_poll_s
+        changed = self._context.rows != self._last_router_rows
+        return self._stale or changed or waited_s >= POLL_INTERVAL_S
 
-    async def _look_and_tend(self) -> None:
-        """Read the shards' rows and tend each; a failure has all of it done again."""
+    async def _read_and_maintain(self) -> None:
+        """Read the rows of all shards and maintain each; after a failure, start over."""
         try:
-            await self._look()
+            await self._read_rows()
             for shard in range(CLAIM_SHARDS):
-                await self._tend(shard)
+                await self._maintain(shard)
         except PlatformError:
             self._stale = True
             raise
 
-    async def _look(self) -> None:
-        self._seen_rows = self._context.rows
+    async def _read_rows(self) -> None:
+        self._last_router_rows = self._context.rows
         keys = {shard_key(shard): shard for shard in range(CLAIM_SHARDS)}
         stored = await self._context.table.read(list(keys))
         for key, row in stored.items():
             self._rows[keys[key]] = msgspec.convert(row.value, ShardRow)
-        self._looked_s = self._context.now_s()
+        self._last_poll_s = self._context.now_s()
         self._stale = False
 
     async def _hold_and_answer(self, message: ClaimAtHolders) -> None:
@@ -145,17 +145,17 @@
         claim = HeldClaim(key, message.row.token, message.row.fingerprint, message.row.incarnation)
         row = self.row_of(key)
         answer = await self._hold(row, claim) if row else HoldAnswer(HoldOutcome.STALE)
-        if answer.row is not None and self._learn(answer.row):
+        if answer.row is not None and self._merge_row(answer.row):
             answer = await self._hold(answer.row, claim)
         if answer.outcome is HoldOutcome.STALE:
             self._stale = True
         if not message.answer.called:
             message.answer.callback(answer)
 
-    def _learn(self, row: ShardRow) -> bool:
-        """Take in a row that a holder knows; True when it is newer than the one here."""
-        known = self._rows.get(row.shard)
-        if known is not None and known.epoch >= row.epoch:
+    def _merge_row(self, row: ShardRow) -> bool:
+        """Cache a row received from a holder; return whether it is newer than the cached one."""
+        known_row = self._rows.get(row.shard)
+        if known_row is not None and known_row.epoch >= row.epoch:
             return False
         self._rows[row.shard] = row
         return True
@@ -163,7 +163,7 @@
     async def _hold(self, row: ShardRow, claim: HeldClaim) -> HoldAnswer:
         """Record the claim at the first holder, then at the second.
 
-        The order decides between two senders of the same id.
+        The fixed order decides between concurrent calls with the same request id.
         """
         answer = HoldAnswer(HoldOutcome.STALE)
         for holder in row.holders:
@@ -188,7 +188,7 @@
             return None
 
     async def _release(self) -> None:
-        """Tell holders of claims given up; tried again until they have heard."""
+        """Release abandoned claims at their holders; retried until both confirm."""
         for key, row in list(self._unreleased.items()):
             shard = self.row_of(key)
             if shard is None or await self._release_at_holders(shard, key, row.token):
@@ -197,10 +197,10 @@
                 self._stale = True
 
     async def _release_at_holders(self, shard: ShardRow, key: str, token: str) -> bool:
-        """Have both holders forget a claim; False when one must be asked again.
+        """Release a claim at both holders; return False when it must be tried again.
 
-        A holder that changes hands says no: the claim is on its way to another.
-        The shard's row names live holders again soon after one has died.
+        A holder refuses while its shard moves, since the claim may be in transit.
+        After a holder has failed, the shard's row soon lists live holders again.
         """
         for holder in shard.holders:
             if holder == self._core().incarnation:
@@ -213,56 +213,58 @@
                 return False
         return True
 
-    async def _tend(self, shard: int) -> None:
-        """Do what this router's part in a shard calls for."""
+    async def _maintain(self, shard: int) -> None:
+        """Create, repair or rebalance a shard if this router is responsible for it."""
         own = self._core().incarnation
         row = self._rows.get(shard)
         if row is None:
-            if self._first_for(shard) == own:
+            if self._first_holder_for(shard) == own:
                 await self._write(shard, None, from_table=True)
             return
         if all(self._is_live(holder) for holder in row.holders):
-            await self._tend_whole(row)
-        elif self._can_continue(row):
+            await self._maintain_live_shard(row)
+        elif self._has_claims(row):
             self.holder.freeze(shard)
             await self._write(shard, row, from_table=False)
-        elif self._may_reset(row):
+        elif self._may_reload_from_table(row):
             await self._write(shard, row, from_table=True)
 
-    async def _tend_whole(self, row: ShardRow) -> None:
-        """Tend a shard whose holders are both live."""
+    async def _maintain_live_shard(self, row: ShardRow) -> None:
+        """Serve, rebalance or reopen a shard whose holders are both live."""
         own = self._core().incarnation
         if own not in row.holders:
             return
         if self.holder.serves(row.shard, row.epoch):
             await self._rebalance(row)
         elif self.holder.has_state(row.shard, row.epoch):
-            # Stopped for a change that was not written; it may not serve this epoch again.
+            # Frozen for a change that was not written; this epoch must not be served again.
             await self._write(row.shard, row, from_table=False)
         elif row.holders[0] == own:
             await self._open(row)
 
     async def _rebalance(self, row: ShardRow) -> None:
-        """Bring a shard one step nearer to the holders that hashing wants.
+        """Replace one holder that is not preferred by rendezvous hashing.
 
-        Without this the routers that started first would hold every shard.
-        One holder is kept at each step, as in every change.
+        Otherwise the routers that started first would hold all shards. Each change
+        keeps one holder, which has the claims.
         """
         own = self._core().incarnation
-        wanted = self._wanted_holders(row.shard)
-        unwanted = [holder for holder in row.holders if holder not in wanted]
-        if not unwanted or len(wanted) < len(row.holders):
+        preferred = self._preferred_holders(row.shard)
+        misplaced = [holder for holder in row.holders if holder not in preferred]
+        if not misplaced or len(preferred) < len(row.holders):
             return
-        keeper = next((holder for holder in row.holders if holder in wanted), row.holders[0])
-        if keeper == own:
-            second = next(holder for holder in wanted if holder != own)
+        remaining_holder = next(
+            (holder for holder in row.holders if holder in preferred), row.holders[0]
+        )
+        if remaining_holder == own:
+            second = next(holder for holder in preferred if holder != own)
             self.holder.freeze(row.shard)
             await self._write(row.shard, row, from_table=False, second=second)
 
-    def _wanted_holders(self, shard: int) -> list[str]:
-        """Return the two live routers with the highest weights, in two zones if possible."""
+    def _preferred_holders(self, shard: int) -> list[str]:
+        """Return the two live routers with the highest weights, in different zones if possible."""
         rows = sorted(
-            self._live(),
+            self._live_rows(),
             key=lambda row: rendezvous_weight(str(shard), row.incarnation),
             reverse=True,
         )
@@ -271,46 +273,48 @@
         others = [row for row in rows[1:] if row.zone != rows[0].zone] or rows[1:]
         return [row.incarnation for row in (rows[0], *others[:1])]
 
-    def _can_continue(self, row: ShardRow) -> bool:
-        """Tell whether this process has the claims of the row's epoch."""
+    def _has_claims(self, row: ShardRow) -> bool:
+        """Return whether this process has the claims of the row's epoch."""
         return self.holder.has_state(row.shard, row.epoch)
 
-    def _may_reset(self, row: ShardRow) -> bool:
-        """Tell whether no holder of the epoch can have its claims any more.
+    def _may_reload_from_table(self, row: ShardRow) -> bool:
+        """Return whether no holder can have the epoch's claims any more.
 
-        The second holder has them only once the first handed them over, so a
-        second holder without them starts anew when the first is gone.
+        The second holder receives them from the first, so that a second holder
+        without claims may reload them from the table once the first is removed.
         """
         listed_instances = self._context.listed_instances
         own = self._core().incarnation
-        gone = [
+        removed = [
             holder
             for holder in row.holders
             if listed_instances is not None
             and not self._is_live(holder)
             and instance_of(holder) not in listed_instances
         ]
-        if row.holders[0] not in gone:
+        if row.holders[0] not in removed:
             return False
         if row.holders[1] == own:
             return True
-        return row.holders[1] in gone and self._first_for(row.shard) == own
+        return row.holders[1] in removed and self._first_holder_for(row.shard) == own
 
     async def _write(
         self, shard: int, before: ShardRow | None, from_table: bool, second: str | None = None
     ) -> None:
-        """Write the next epoch with this router first and another as second."""
+        """Write the next epoch, with this router as first holder."""
         own = self._core().incarnation
         second = second or self._choose_second(shard, before)
         if second is None:
             return
-        lost = before is not None and from_table
+        claims_lost = before is not None and from_table
         row = ShardRow(
             shard,
             before.epoch + 1 if before else 1,
             (own, second),
             from_table,
-            self._context.clock.wall_s() if lost else (before.unknown_before_s if before else 0.0),
+            self._context.clock.wall_s()
+            if claims_lost
+            else (before.unknown_before_s if before else 0.0),
         )
         key = shard_key(shard)
         check = FieldIs(key, "epoch", before.epoch) if before else Absent(key)
@@ -323,7 +327,7 @@
             await self._open(row)
 
     async def _open(self, row: ShardRow) -> None:
-        """Hand the claims to the second holder, then serve."""
+        """Send the claims to the second holder, then serve the shard."""
         claims: tuple[HeldClaim, ...] = ()
         if row.from_table:
             claims = await self._stored_claims(row.shard)
@@ -352,22 +356,22 @@
         row = self._context.rows.get(incarnation)
         return row is not None and row.state is RouterState.LIVE
 
-    def _live(self) -> list:
+    def _live_rows(self) -> list:
         return [row for row in self._context.rows.values() if row.state is RouterState.LIVE]
 
-    def _first_for(self, shard: int) -> str:
-        names = [row.incarnation for row in self._live()]
+    def _first_holder_for(self, shard: int) -> str:
+        names = [row.incarnation for row in self._live_rows()]
         return max(names, key=lambda name: rendezvous_weight(str(shard), name), default="")
 
     def _choose_second(self, shard: int, before: ShardRow | None) -> str | None:
         own = self._core().incarnation
         zone = self._context.settings.zone
-        kept = before.holders if before else ()
-        others = [row for row in self._live() if row.incarnation != own]
+        current_holders = before.holders if before else ()
+        others = [row for row in self._live_rows() if row.incarnation != own]
 
         def preference(row):
             weight = rendezvous_weight(str(shard), row.incarnation)
-            return (row.zone == zone, row.incarnation not in kept, -weight)
+            return (row.zone == zone, row.incarnation not in current_holders, -weight)
 
         others.sort(key=preference)
         return others[0].incarnation if others else None
