--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        Settings, clients and state of the router.
     ledger : GrantLedger
         Holds the granted tokens; requests reserve them, and this task adds and withdraws
         them.
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One router process: builds the parts, registers, serves, and stops in order."""
+"""The router process: builds the components, registers, serves and shuts down."""
 
 import msgspec
 from twisted.internet import defer, task
@@ -45,17 +45,17 @@
 
 __all__ = ["RouterProcess"]
 
-_START_RETRY_S = 0.5
-_STOP_POLL_S = 0.1
+_REGISTER_RETRY_S = 0.5
+_SHUTDOWN_POLL_S = 0.1
 
 
 class RouterProcess:
-    """A router from start to exit.
+    """A router, from startup to shutdown.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        The settings, clients and state that the router's components share.
     """
 
     def __init__(self, context: RouterContext):
@@ -68,14 +68,14 @@
                 context.reactor, context.events.clock, settings.peer_timeout_s
             )
         context.peers.handler = self.answer_peer
-        self.core = RouterCore(context, new_incarnation(settings.instance), self._fenced)
+        self.core = RouterCore(context, new_incarnation(settings.instance), self._replace_core)
         self.desk = FlightDesk(context, self._current_core)
         self.config = ConfigTask(context)
-        self.recovery = RecoveryTask(context, self._current_core, self._fenced_now)
-        self.pairs = PairTask(context, self._current_core, self._fenced_now)
+        self.recovery = RecoveryTask(context, self._current_core, self._replace_current_core)
+        self.pairs = PairTask(context, self._current_core, self._replace_current_core)
         context.pairs = self.pairs
         self.membership = MembershipTask(
-            context, self.config, self.recovery, self._current_core, self._fenced_now
+            context, self.config, self.recovery, self._current_core, self._replace_current_core
         )
         self._tasks = (
             self.config,
@@ -91,10 +91,10 @@
 
     @classmethod
     def from_config(cls, settings: RouterSettings, reactor) -> "RouterProcess":
-        """Build a router over real sockets."""
+        """Build a router that uses real sockets."""
         clock = SystemClock()
         http = HttpClient(reactor)
-        runs = HttpClient(reactor, persistent=False)
+        run_http = HttpClient(reactor, persistent=False)
         url, timeout_s = settings.platform_url, settings.platform_timeout_s
         return cls(
             RouterContext(
@@ -104,15 +104,15 @@
                 HttpTable(http, url, timeout_s),
                 HttpObjectStore(http, url, timeout_s),
                 HttpInstanceList(http, url, timeout_s),
-                HttpEngineClient(runs, http, settings.answer_timeout_s),
-                HttpServiceClient(runs, settings.answer_timeout_s),
+                HttpEngineClient(run_http, http, settings.answer_timeout_s),
+                HttpServiceClient(run_http, settings.answer_timeout_s),
                 EventLog(HybridClock(clock), settings.instance, settings.zone),
                 Metrics.from_config(settings.statsd_address),
             )
         )
 
     async def start(self) -> None:
-        """Listen to peers and operators, register, load the configuration, then serve."""
+        """Listen for peers and operators, load the configuration, register, then serve callers."""
         settings = self.context.settings
         self.context.peers.listen(settings.peers_address)
         states = StateReader(self.context, self.status)
@@ -124,30 +124,30 @@
         self._log.info("The router serves.", incarnation=self.core.incarnation)
 
     async def start_tasks(self) -> None:
-        """Register and start the tasks; everything but the listening ports."""
-        await self._begin(self.core)
-        for part in self._tasks:
-            part.start()
+        """Register and start the tasks, without opening any listening port."""
+        await self._register_and_start(self.core)
+        for component in self._tasks:
+            component.start()
 
     def unexpected_failures(self) -> int:
-        """Return how many batches of messages failed for a cause no code foresaw."""
-        return sum(part.unexpected_failures for part in (*self._tasks, *self.core.tasks))
+        """Return the number of message batches that failed with an unhandled exception."""
+        return sum(component.unexpected_failures for component in (*self._tasks, *self.core.tasks))
 
     def _listen(self, address: str, site) -> None:
         host, port = parse_address(address)
         self._ports.append(self.context.reactor.listenTCP(port, site, interface=host))
 
-    async def _begin(self, core: RouterCore) -> None:
-        """Register an incarnation and put it to work; tries until the platform answers."""
+    async def _register_and_start(self, core: RouterCore) -> None:
+        """Register an incarnation and start its tasks; retried until the platform responds."""
         while self.context.machine.state not in ("leaving", "left"):
             try:
                 if not self.config.loaded:
                     await self.config.load()
                 await self._registry.register(self._row(core.incarnation))
                 break
-            except PlatformError as failure:
-                self._log.info("The platform is not reached yet.", cause=str(failure))
-                await task.deferLater(self.context.reactor, _START_RETRY_S)
+            except PlatformError as error:
+                self._log.info("The platform is not reached yet.", cause=str(error))
+                await task.deferLater(self.context.reactor, _REGISTER_RETRY_S)
         self._incarnations.add(core.incarnation)
         self.context.peers.incarnation = core.incarnation
         self.context.events.incarnation = core.incarnation
@@ -170,11 +170,11 @@
     def _current_core(self) -> RouterCore:
         return self.core
 
-    def _fenced_now(self) -> None:
-        self._fenced(self.core)
+    def _replace_current_core(self) -> None:
+        self._replace_core(self.core)
 
-    def _fenced(self, core: RouterCore) -> None:
-        """Stop the fenced incarnation's writing and go on as a new one."""
+    def _replace_core(self, core: RouterCore) -> None:
+        """Stop a fenced incarnation and continue as a new one."""
         if core is not self.core or core.successor is not None:
             return
         core.fenced = True
@@ -182,14 +182,14 @@
         self.context.events.emit("router.fenced", of=core.incarnation)
         self._log.warning("This router was fenced.", incarnation=core.incarnation)
         successor = RouterCore(
-            self.context, new_incarnation(self.context.settings.instance), self._fenced
+            self.context, new_incarnation(self.context.settings.instance), self._replace_core
         )
         self.core = successor
         core.hand_over(successor)
-        defer.ensureDeferred(self._begin(successor))
+        defer.ensureDeferred(self._register_and_start(successor))
 
     async def answer_peer(self, incarnation: str, message: Message) -> Message:
-        """Answer another router's message."""
+        """Return the answer to another router's message."""
         context = self.context
         if isinstance(message, Heartbeat):
             context.last_heartbeat_s[incarnation] = context.now_s()
@@ -220,17 +220,17 @@
         return RecordsAck(released)
 
     def _status_body(self, kind: str):
-        name, _, rest = kind.partition("/")
+        name, _, argument = kind.partition("/")
         if name == "silent":
-            last_heartbeat_s = self.context.last_heartbeat_s.get(rest)
+            last_heartbeat_s = self.context.last_heartbeat_s.get(argument)
             return None if last_heartbeat_s is None else self.context.now_s() - last_heartbeat_s
         if name == "events":
-            wanted = msgspec.json.decode(rest.encode())
-            return [event for event in self.context.events.recent() if matches(event, **wanted)]
+            filters = msgspec.json.decode(argument.encode())
+            return [event for event in self.context.events.recent() if matches(event, **filters)]
         return self.status()
 
     def status(self) -> RouterStatus:
-        """Return this router's account of itself."""
+        """Return the status that this router reports to operators."""
         context = self.context
         core = self.core
         outbox = core.records.outbox
@@ -270,7 +270,7 @@
         return advice
 
     def leave(self) -> None:
-        """Begin the planned stop."""
+        """Start the planned shutdown."""
         if self.context.machine.fire("leave"):
             self.context.events.emit("router.leaving")
             defer.ensureDeferred(self._leave())
@@ -278,54 +278,56 @@
     async def _leave(self) -> None:
         context = self.context
         deadline_s = context.now_s() + context.settings.stop_limit_s
-        await self._try(self._registry.set_field(self.core.incarnation, "state", "leaving"))
+        await self._ignore_outage(
+            self._registry.set_field(self.core.incarnation, "state", "leaving")
+        )
         await self._pause(context.settings.drain_grace_s)
         for port in self._ports[1:]:
             port.stopListening()
         while self.desk.open_count and context.now_s() < deadline_s:
-            await self._pause(_STOP_POLL_S)
+            await self._pause(_SHUTDOWN_POLL_S)
         while context.now_s() < deadline_s and not await self._emptied():
-            await self._pause(_STOP_POLL_S)
-        await self._try(self._registry.leave(self.core.incarnation))
+            await self._pause(_SHUTDOWN_POLL_S)
+        await self._ignore_outage(self._registry.leave(self.core.incarnation))
         context.events.emit("router.left")
         await self._ship_last_events()
         context.machine.fire("emptied")
         self._close()
 
     async def _emptied(self) -> bool:
-        """Flush bills, return grants, and tell whether nobody depends on this router."""
-        bills_left: defer.Deferred = defer.Deferred()
-        self.core.bills.tell(FlushBills(bills_left))
-        if await bills_left:
+        """Flush bills, return grants, and return whether no other router depends on this one."""
+        pending_bills: defer.Deferred = defer.Deferred()
+        self.core.bills.tell(FlushBills(pending_bills))
+        if await pending_bills:
             return False
-        held: defer.Deferred = defer.Deferred()
-        self.core.grants.tell(ReturnTokens(held))
-        if await held:
+        held_tokens: defer.Deferred = defer.Deferred()
+        self.core.grants.tell(ReturnTokens(held_tokens))
+        if await held_tokens:
             return False
         own = self.core.incarnation
-        named = any(own in row.buddies for row in self.context.live_rows())
-        duties = any(
+        is_buddy = any(own in row.buddies for row in self.context.live_rows())
+        is_recoverer = any(
             row.state is RouterState.FENCED and row.recoverer == own
             for row in self.context.rows.values()
         )
-        return not named and not duties
+        return not is_buddy and not is_recoverer
 
     async def _ship_last_events(self) -> None:
         event_task = self._tasks[-1]
-        await self._try(event_task.handle([]))
+        await self._ignore_outage(event_task.handle([]))
 
-    async def _try(self, coroutine) -> None:
+    async def _ignore_outage(self, coroutine) -> None:
         try:
             await coroutine
-        except PlatformError as failure:
-            self._log.info("The platform did not answer.", cause=str(failure))
+        except PlatformError as error:
+            self._log.info("The platform did not answer.", cause=str(error))
 
     async def _pause(self, seconds: float) -> None:
         await task.deferLater(self.context.reactor, seconds)
 
     def _close(self) -> None:
-        for part in (*self._tasks, self.core):
-            part.stop()
+        for component in (*self._tasks, self.core):
+            component.stop()
         for port in self._ports[:1]:
             port.stopListening()
         self.context.peers.close()
--- a/turnward/router/record_task.py
+++ b/turnward/router/record_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Copies this router's run records to its buddies."""
+"""Replicates this router's run records to its buddies."""
 
 import msgspec
 from twisted.internet import defer
@@ -12,24 +12,23 @@
 
 __all__ = ["ReplicateRecord", "RecordTask"]
 
-#: Seconds for which a buddy that did not acknowledge is left alone.
-REST_S = 0.5
-#: Seconds after which records that need not be sent at once are sent; longer than bills
-#: wait, so that most ends of runs are overtaken by their bills.
-LAZY_S = 2.0
-#: Records in one message.
+#: Time until records are sent again to a buddy that did not acknowledge a batch.
+RETRY_INTERVAL_S = 0.5
+#: Interval of sending non-urgent records. Longer than the wait of bills, so that most
+#: records of finished runs are billed before they would be sent.
+NON_URGENT_INTERVAL_S = 2.0
 BATCH_RECORDS = 200
 
 
 class ReplicateRecord(msgspec.Struct, frozen=True, eq=False):
-    """A request waits until a buddy holds its record; the answer is True or False."""
+    """Replicate the record of a waiting request; the answer is whether a buddy holds it."""
 
     record: RunRecord
     answer: Deferred
 
 
-class _Sent(msgspec.Struct, frozen=True, eq=False):
-    """A buddy's answer to a batch."""
+class _BatchResult(msgspec.Struct, frozen=True, eq=False):
+    """The outcome of sending a batch of records to a buddy."""
 
     buddy: str
     records: tuple[RunRecord, ...]
@@ -37,38 +36,38 @@
 
 
 class RecordTask(TaskBase):
-    """Owns the outbox; sends to each buddy one batch at a time.
+    """Owns the outbox; sends each buddy at most one batch at a time.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        Settings, clients and state of the router.
     incarnation : str
-        Whose records these are.
+        The incarnation that the records belong to.
     """
 
     log_prefix = "records"
 
     def __init__(self, context, incarnation: str, on_fenced):
-        super().__init__(context.reactor, REST_S, on_fenced)
+        super().__init__(context.reactor, RETRY_INTERVAL_S, on_fenced)
         self._context = context
         self._incarnation = incarnation
-        self._refused = on_fenced
+        self._on_refused = on_fenced
         self.outbox = RecordOutbox()
         self.buddies: tuple[str, ...] = ()
         self._waiting: dict[str, ReplicateRecord] = {}
         self._sending: set[str] = set()
         self._failed: set[str] = set()
-        self._lazy_s = context.now_s()
+        self._last_full_send_s = context.now_s()
 
     def put(self, record: RunRecord) -> None:
-        """Queue a change of a record; nobody waits for it."""
+        """Queue a changed record, without waiting for an acknowledgement."""
         self.outbox.put(record)
         if is_urgent(record):
             self.tell(None)
 
     def set_buddies(self, buddies: tuple[str, ...]) -> None:
-        """Change whom records are sent to."""
+        """Set the routers to which records are sent."""
         self.buddies = buddies
         self.outbox.set_buddies(buddies)
 
@@ -77,23 +76,23 @@
         for message in messages:
             if isinstance(message, ReplicateRecord):
                 self._hold(message)
-            elif isinstance(message, _Sent):
-                self._take_answer(message)
+            elif isinstance(message, _BatchResult):
+                self._handle_result(message)
         if Tick() in messages:
             self._failed.clear()
-        everything = self._is_lazy_due()
+        send_all = self._is_full_send_due()
         for buddy in self.buddies:
             if buddy in self._sending or buddy in self._failed:
                 continue
-            if self.outbox.has_urgent(buddy) or (everything and self.outbox.unsent_count(buddy)):
+            if self.outbox.has_urgent(buddy) or (send_all and self.outbox.unsent_count(buddy)):
                 self._sending.add(buddy)
-                defer.ensureDeferred(self._send(buddy, urgent_only=not everything))
+                defer.ensureDeferred(self._send(buddy, urgent_only=not send_all))
 
-    def _is_lazy_due(self) -> bool:
+    def _is_full_send_due(self) -> bool:
         now_s = self._context.now_s()
-        due = now_s - self._lazy_s >= LAZY_S
+        due = now_s - self._last_full_send_s >= NON_URGENT_INTERVAL_S
         if due:
-            self._lazy_s = now_s
+            self._last_full_send_s = now_s
         return due
 
     def _hold(self, message: ReplicateRecord) -> None:
@@ -112,31 +111,31 @@
                 answer = await self._context.peers.ask(row.peers_address, buddy, _message(records))
                 held = isinstance(answer, RecordsAck) and answer.accepted
                 if not held:
-                    self._refused()
+                    self._on_refused()
         except PeerError:
             self._context.metrics.count("records.unacknowledged")
         self._sending.discard(buddy)
-        self.tell(_Sent(buddy, records, held))
+        self.tell(_BatchResult(buddy, records, held))
 
-    def _take_answer(self, sent: _Sent) -> None:
-        if not sent.held:
-            self._failed.add(sent.buddy)
+    def _handle_result(self, result: _BatchResult) -> None:
+        if not result.held:
+            self._failed.add(result.buddy)
         else:
-            self.outbox.mark_held(sent.buddy, sent.records)
-        for record in sent.records:
-            self._answer_waiter(record, sent)
+            self.outbox.mark_held(result.buddy, result.records)
+        for record in result.records:
+            self._answer_waiter(record, result)
 
-    def _answer_waiter(self, record: RunRecord, sent: _Sent) -> None:
+    def _answer_waiter(self, record: RunRecord, result: _BatchResult) -> None:
         waiter = self._waiting.get(record.run_id)
         if waiter is None or record.state is not RecordState.OPEN:
             return
-        if sent.held or not self._others_may_hold(record, sent.buddy):
+        if result.held or not self._others_may_acknowledge(record, result.buddy):
             del self._waiting[record.run_id]
             if not waiter.answer.called:
-                waiter.answer.callback(sent.held)
+                waiter.answer.callback(result.held)
 
-    def _others_may_hold(self, record: RunRecord, buddy: str) -> bool:
-        """Tell whether another buddy still has to answer for the record."""
+    def _others_may_acknowledge(self, record: RunRecord, buddy: str) -> bool:
+        """Return whether another buddy may still acknowledge the record."""
         return any(
             other != buddy
             and other not in self._failed
--- a/turnward/router/recovery_task.py
+++ b/turnward/router/recovery_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Holds the duty of recovering dead routers."""
+"""Fences failed routers and recovers their runs and tokens."""
 
 import msgspec
 
@@ -12,20 +12,20 @@
 
 
 class FenceRouter(msgspec.Struct, frozen=True):
-    """A router is gone; fence it and recover it."""
+    """Fence an unresponsive router, then recover it."""
 
     incarnation: str
 
 
 class RecoveryTask(TaskBase):
-    """Owns the recoveries of this router.
+    """Owns the recoveries for which this router is responsible.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        Settings, clients and state of the router.
     core : callable
-        Returns the ``RouterCore`` of now.
+        Returns the current ``RouterCore``.
     """
 
     log_prefix = "recovery"
@@ -53,7 +53,7 @@
             if isinstance(message, FenceRouter):
                 await self._fence(message.incarnation)
         if Tick() in messages:
-            await self._go_on()
+            await self._advance_recoveries()
 
     async def _fence(self, incarnation: str) -> None:
         own = self._core().incarnation
@@ -61,9 +61,9 @@
             self.log.warning("A router is fenced.", incarnation=incarnation)
             self._context.events.emit("recovery.fenced", of=incarnation)
             self._context.rows = await self._registry.rows()
-            await self._go_on()
+            await self._advance_recoveries()
 
-    async def _go_on(self) -> None:
+    async def _advance_recoveries(self) -> None:
         for row in list(self._context.rows.values()):
             if row.state is RouterState.FENCED:
                 await self._recover(row)
@@ -72,15 +72,15 @@
         own = self._core().incarnation
         if row.recoverer != own and not await self._take_over(row, own):
             return
-        fresh = await self._registry.rows()
-        if row.incarnation not in fresh:
+        rows = await self._registry.rows()
+        if row.incarnation not in rows:
             return
         try:
             state = await self._recoverer.step(
-                fresh[row.incarnation], own, fresh, self._context.listed_instances
+                rows[row.incarnation], own, rows, self._context.listed_instances
             )
-        except PlatformError as failure:
-            self.log.info("A recovery waits for the platform.", cause=str(failure))
+        except PlatformError as error:
+            self.log.info("A recovery waits for the platform.", cause=str(error))
             return
         if self.states.get(row.incarnation) != state:
             self.log.info("A recovery has moved.", incarnation=row.incarnation, state=str(state))
@@ -90,13 +90,15 @@
             self._context.rows = await self._registry.rows()
 
     async def _take_over(self, row: RouterRow, own: str) -> bool:
-        holder = self._context.rows.get(row.recoverer)
-        if holder is not None and holder.writable:
+        recoverer = self._context.rows.get(row.recoverer)
+        if recoverer is not None and recoverer.writable:
             return False
-        live = [other.incarnation for other in self._context.live_rows()]
-        heirs = [name for name in row.buddies if name in live] or live
-        heir = max(heirs, key=lambda name: rendezvous_weight(row.incarnation, name), default="")
-        return heir == own and await self._registry.take_over(row.incarnation, own)
+        live_routers = [other.incarnation for other in self._context.live_rows()]
+        candidates = [name for name in row.buddies if name in live_routers] or live_routers
+        successor = max(
+            candidates, key=lambda name: rendezvous_weight(row.incarnation, name), default=""
+        )
+        return successor == own and await self._registry.take_over(row.incarnation, own)
 
     def _endpoint_url(self, name: str) -> str | None:
         endpoint = self._context.config.resources.get("endpoints", name)
--- a/turnward/router/task.py
+++ b/turnward/router/task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tasks: each owns its state, is told messages, and handles them one batch at a time."""
+"""Tasks: actors that own their state and handle messages one batch at a time."""
 
 from abc import ABC, abstractmethod
 from typing import Any
@@ -18,25 +18,25 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """A task's period is over."""
+    """Sent to a task by its timer, once per period."""
 
 
 class TaskBase(ABC):
-    """A task with a mailbox.
+    """An actor: handles the messages in its mailbox, and a ``Tick`` per period.
 
     Parameters
     ----------
     reactor
-        Twisted's reactor, or a fake clock.
+        Twisted's reactor, or a simulated clock.
     period_s : float
         Seconds between ticks.
     on_fenced : callable
-        Called without arguments when a write shows that the router is fenced.
+        Called without arguments when a write is rejected because the router is fenced.
 
     Attributes
     ----------
     unexpected_failures : int
-        Batches that failed for a cause no code foresaw; each is a fault of ours.
+        Number of batches that failed with an unhandled exception, which is always a bug.
     """
 
     #: Prefix of the task's log lines.
@@ -56,19 +56,19 @@
 
     @abstractmethod
     async def handle(self, messages: list[Any]) -> None:
-        """Handle all waiting messages."""
+        """Handle a batch of messages."""
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the timer."""
         self._loop.start(self._period_s, now=True)
 
     def stop(self) -> None:
-        """Tick no more; what is in the mailbox is still handled."""
+        """Stop the timer; messages already in the mailbox are still handled."""
         if self._loop.running:
             self._loop.stop()
 
     def tell(self, message: Any) -> None:
-        """Put a message into the mailbox."""
+        """Add a message to the mailbox."""
         self._mailbox.append(message)
         if not self._busy:
             self._busy = True
@@ -90,23 +90,23 @@
     async def _handle_safely(self, messages: list[Any]) -> None:
         try:
             await self.handle(messages)
-            self._note_success()
+            self._record_success()
         except FencedError:
             self.log.warning("The router is fenced.")
             self._on_fenced()
-        except (PlatformError, PeerError, EndpointError) as failure:
-            self._note_failure(failure)
+        except (PlatformError, PeerError, EndpointError) as error:
+            self._record_failure(error)
         except Exception:
             self.unexpected_failures += 1
             self.log.exception("A batch of messages failed.")
 
-    def _note_failure(self, failure: Exception) -> None:
-        """Log the first failure of a row; an outage would fill the log otherwise."""
+    def _record_failure(self, error: Exception) -> None:
+        """Log only the first of consecutive failures, to limit logging during an outage."""
         if not self._failing:
-            self.log.warning("Calls fail.", cause=str(failure))
+            self.log.warning("Calls fail.", cause=str(error))
         self._failing = True
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._failing:
             self.log.info("Calls succeed again.")
         self._failing = False
