--- a/turnward/routing/__init__.py
+++ b/turnward/routing/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The choice of endpoints, admission and retries."""
+"""Load balancing, admission control and retry budgets."""
 
 from turnward.routing.admission import (
     ADMISSION_HEADROOM,
--- a/turnward/routing/admission.py
+++ b/turnward/routing/admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Admits requests by priority class, in a bounded queue, with a floor per class."""
+"""Admission control: a bounded queue by priority class, with a minimum share per class."""
 
 import math
 from collections import deque
@@ -20,13 +20,13 @@
 ]
 
 
-#: Requests a router lets out per slot of its share. Demand comes unevenly to routers,
-#: and engines that honour priorities queue better than routers that each see a part.
+#: Requests that a router admits per slot of its share. Above 1, since demand is uneven
+#: across routers and engines, which see all requests, queue better by priority.
 ADMISSION_HEADROOM = 2.0
 
 
 def admission_slots(pool_slots: float, routers: int) -> int:
-    """Return how many requests one router may have on a pool at once.
+    """Return the most requests that one router may have in flight to a pool.
 
     Examples
     --------
@@ -40,12 +40,12 @@
     return max(1, math.ceil(pool_slots * ADMISSION_HEADROOM / max(1, routers)))
 
 
-#: Share of a pool's slots that all classes but the most urgent may fill together.
+#: Share of a pool's slots that all classes below the most urgent may use together.
 LOW_CLASS_SHARE = 0.8
 
 
 def low_class_slots(pool_slots: float, routers: int) -> int:
-    """Return how many less urgent requests one router may have on a pool at once.
+    """Return the most requests below the top class that one router may have in flight.
 
     Examples
     --------
@@ -58,7 +58,7 @@
 
 
 class Overload(msgspec.Struct, frozen=True):
-    """A refusal: the request would wait too long; come back after ``retry_after_s``."""
+    """The request was rejected, since its expected wait is too long."""
 
     retry_after_s: float
 
@@ -68,9 +68,9 @@
 
     Attributes
     ----------
-    admitted : callable
-        Called once with True when the request may go, or False when it is
-        given up.
+    on_decision : callable
+        Called once: with True when the request is admitted, or with False when it
+        has waited too long.
     """
 
     priority_class: str
@@ -80,7 +80,7 @@
 
 
 class AdmissionQueue:
-    """Decides who goes next to one pool.
+    """Decides which request is next admitted to a pool.
 
     Parameters
     ----------
@@ -98,22 +98,22 @@
 
     @property
     def running_count(self) -> int:
-        """Requests admitted and not ended."""
+        """Number of admitted requests that have not ended."""
         return sum(self._running.values())
 
     def waiting_count(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(len(queue) for queue in self._queues.values())
 
     def set_classes(self, classes: dict[str, PriorityClass]) -> None:
-        """Take in changed priority classes."""
+        """Replace the priority classes."""
         self._classes = classes
 
     def set_slots(self, slots: int, low_slots: int | None = None) -> None:
-        """Take in how many requests this router may have on the pool at once.
+        """Set how many requests this router may have in flight to the pool.
 
-        ``low_slots`` bounds all classes but the most urgent one together, so
-        that an urgent request seldom finds every engine full of slow work.
+        ``low_slots`` limits all classes below the most urgent one together, so
+        that slow requests rarely occupy every engine when an urgent one arrives.
         """
         self._slots = slots
         self._low_slots = slots if low_slots is None else low_slots
@@ -121,7 +121,7 @@
     def offer(
         self, priority_class: str, now_s: float, on_decision: Callable[[bool], None]
     ) -> Result[Ticket, Overload]:
-        """Queue a request, or refuse it at once when it would wait too long."""
+        """Queue a request, or reject it immediately if it would wait too long."""
         rule = self._classes[priority_class]
         queue = self._queues.setdefault(priority_class, deque())
         wait_s = self._expected_wait_s(rule)
@@ -133,7 +133,7 @@
         return Ok(ticket)
 
     def end(self, ticket: Ticket, service_s: float, now_s: float) -> None:
-        """Note that an admitted request has ended."""
+        """Record the end of an admitted request."""
         if ticket.running:
             ticket.running = False
             self._running[ticket.priority_class] -= 1
@@ -141,14 +141,14 @@
         self.dispatch(now_s)
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting request out."""
+        """Remove a waiting request."""
         queue = self._queues.get(ticket.priority_class, deque())
         if ticket in queue:
             queue.remove(ticket)
 
     def dispatch(self, now_s: float) -> None:
-        """Give up requests that waited too long and admit those that fit."""
-        self._give_up(now_s)
+        """Drop requests that have waited too long, and admit others to free slots."""
+        self._expire_waiting(now_s)
         while self.running_count < self._slots:
             ticket = self._next_ticket()
             if ticket is None:
@@ -158,21 +158,23 @@
             self._running[ticket.priority_class] = running + 1
             ticket.on_decision(True)
 
-    def _give_up(self, now_s: float) -> None:
+    def _expire_waiting(self, now_s: float) -> None:
         for name, queue in self._queues.items():
             limit_s = self._classes[name].max_wait_s
             while queue and now_s - queue[0].enqueued_s > limit_s:
                 queue.popleft().on_decision(False)
 
     def _next_ticket(self) -> Ticket | None:
-        waiting = [name for name, queue in self._queues.items() if queue and self._may_run(name)]
+        waiting = [
+            name for name, queue in self._queues.items() if queue and self._has_slot_for(name)
+        ]
         if not waiting:
             return None
         starved = [name for name in waiting if self._below_floor(name)]
         best = min(starved or waiting, key=lambda name: self._classes[name].rank)
         return self._queues[best].popleft()
 
-    def _may_run(self, name: str) -> bool:
+    def _has_slot_for(self, name: str) -> bool:
         if self._is_urgent(name):
             return True
         running = sum(count for other, count in self._running.items() if not self._is_urgent(other))
@@ -186,7 +188,7 @@
         return self._running.get(name, 0) < floor
 
     def _expected_wait_s(self, rule: PriorityClass) -> float:
-        if self.running_count < self._slots and self._may_run(rule.name):
+        if self.running_count < self._slots and self._has_slot_for(rule.name):
             return 0.0
         ahead = sum(
             len(queue)
--- a/turnward/routing/policies.py
+++ b/turnward/routing/policies.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Policies that choose an endpoint for a request.
+"""Load-balancing policies, which choose an endpoint for a request.
 
 References
 ----------
 Mitzenmacher, "The power of two choices in randomized load balancing", IEEE
-TPDS 12(10), 2001, on why stale load misleads a pure minimum.
+TPDS 12(10), 2001, on why choosing the minimum by stale load values performs badly.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 
 class RouteRequest(msgspec.Struct, frozen=True):
-    """What a policy is told of a request."""
+    """The properties of a request that a policy uses."""
 
     pool: str
     zone: str
@@ -38,30 +38,30 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The chosen endpoint, with each candidate's score for the time line; lowest wins."""
+    """The chosen endpoint, and the score of each candidate, where the lowest is best."""
 
     view: EndpointView
     scores: dict[str, float]
 
 
 class PolicyBase(ABC):
-    """Chooses among endpoints that take work.
+    """Chooses among the endpoints that accept new requests.
 
     Attributes
     ----------
     fleet_size : int
-        Routers that send to the same endpoints.
+        Number of routers that send to the same endpoints.
     """
 
     fleet_size: int = 1
 
     @abstractmethod
     def choose(self, request: RouteRequest, candidates: list[EndpointView], now_s: float) -> Choice:
-        """Return the choice; ``candidates`` is not empty."""
+        """Choose one of the candidates, of which there is at least one."""
 
 
 class RandomPolicy(PolicyBase):
-    """Naive: any endpoint."""
+    """Baseline: a random endpoint."""
 
     def __init__(self, seed: int = 0):
         self._random = random.Random(seed)
@@ -72,7 +72,7 @@
 
 
 class RoundRobinPolicy(PolicyBase):
-    """Naive: one after the other."""
+    """Baseline: the endpoints in turn."""
 
     def __init__(self):
         self._next = 0
@@ -84,7 +84,7 @@
 
 
 class LeastInFlightPolicy(PolicyBase):
-    """Naive: the fewest own requests in flight."""
+    """Baseline: the endpoint with the fewest requests of this router in flight."""
 
     def choose(self, request, candidates, now_s):
         """See ``PolicyBase.choose``."""
@@ -92,7 +92,7 @@
 
 
 class PrefixHashPolicy(PolicyBase):
-    """Naive: the same prefix always to the same endpoint."""
+    """Baseline: the same endpoint for each prefix, by rendezvous hashing."""
 
     def choose(self, request, candidates, now_s):
         """See ``PolicyBase.choose``."""
@@ -102,29 +102,29 @@
 
 
 class ScorePolicy(PolicyBase):
-    """Expected wait, less the gain of a cached prefix, plus the cost of distance.
+    """Minimizes the expected wait, less the gain of a cached prefix, plus a zone cost.
 
-    All terms are in seconds. The load of an endpoint is taken to be this
-    router's own requests on it times the number of routers: load reports are
-    late, and routers that follow the same late report all choose the same
-    endpoint. A prefix has as its homes the half of the endpoints with the
-    highest rendezvous weights, so that all routers agree where it is cached
-    without telling each other.
+    All terms are in seconds. The load of an endpoint is estimated as this router's
+    requests in flight to it times the number of routers. Load reports are not used:
+    they are delayed, and routers that follow the same report would all choose the
+    same endpoint. A prefix is expected to be cached at the half of the endpoints
+    with the highest rendezvous weights, so that all routers agree without
+    communication.
 
     Parameters
     ----------
     prefill_s_per_token : float
-        Time an uncached prompt token costs.
+        Prefill time per uncached prompt token.
     zone_cost_s : float
-        Cost of another zone.
+        Cost of an endpoint in another zone.
     batch_cost : float
-        Share of the service time that a full batch adds to a request.
+        Share of the service time by which a full batch delays a request.
     """
 
-    #: Homes of a prefix in a small pool; fewer would crowd one endpoint.
-    _LEAST_HOMES = 3
-    #: Service time assumed before any is measured, in seconds.
-    _LEAST_SERVICE_S = 0.05
+    #: Fewest endpoints at which a prefix is expected to be cached, to avoid hot spots.
+    _MIN_CACHE_ENDPOINTS = 3
+    #: Lower bound of the service time, used before any is known.
+    _MIN_SERVICE_S = 0.05
 
     def __init__(
         self,
@@ -138,11 +138,11 @@
 
     def choose(self, request, candidates, now_s):
         """See ``PolicyBase.choose``."""
-        homes = self._homes(request.prefix, candidates)
+        cache_endpoints = self._cache_endpoints(request.prefix, candidates)
         scores = {}
         for view in candidates:
             gain_s = 0.0
-            if view.name in homes:
+            if view.name in cache_endpoints:
                 gain_s = request.prompt_tokens * self._prefill_s_per_token
             scores[view.name] = self._cost_s(request, view, now_s) - gain_s
         best = min(candidates, key=lambda view: (scores[view.name], view.name))
@@ -150,19 +150,19 @@
 
     def _cost_s(self, request: RouteRequest, view: EndpointView, now_s: float) -> float:
         slots = view.endpoint.slots
-        service_s = max(view.mean_service_s, self._LEAST_SERVICE_S)
+        service_s = max(view.mean_service_s, self._MIN_SERVICE_S)
         load = view.in_flight * self.fleet_size
         queue_s = max(0, load + 1 - slots) / slots * service_s
         batch_s = self._batch_cost * service_s * load / slots
         distance_s = 0.0 if view.endpoint.zone == request.zone else self._zone_cost_s
         return (queue_s + batch_s) / view.share(now_s) + distance_s
 
-    def _homes(self, prefix: str, candidates: list[EndpointView]) -> set[str]:
+    def _cache_endpoints(self, prefix: str, candidates: list[EndpointView]) -> set[str]:
         if not prefix:
             return set()
         names = [view.name for view in candidates]
         names.sort(key=lambda name: rendezvous_weight(prefix, name), reverse=True)
-        return set(names[: max(self._LEAST_HOMES, len(names) // 2)])
+        return set(names[: max(self._MIN_CACHE_ENDPOINTS, len(names) // 2)])
 
 
 #: Policies by the name used on the command line.
--- a/turnward/routing/retries.py
+++ b/turnward/routing/retries.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The retry budget: retries are a share of a workspace's successes."""
+"""Retry budget: limits retries to a share of a workspace's successful requests."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Tokens of retry for one workspace.
+    """Token bucket of retries for one workspace.
 
     Parameters
     ----------
     share : float
-        Retries allowed per success.
+        Retries allowed per successful request.
     burst : float
-        Most retries that can be saved up.
+        Capacity of the bucket, in retries.
     """
 
     __slots__ = ("_burst", "_level", "_share")
@@ -23,11 +23,11 @@
         self._level = burst
 
     def record_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add ``share`` of a retry to the bucket."""
         self._level = min(self._burst, self._level + self._share)
 
     def take(self) -> bool:
-        """Use one retry; False when none is left."""
+        """Take one retry; return False when the budget is exhausted."""
         if self._level < 1.0:
             return False
         self._level -= 1.0
--- a/turnward/routing/tests/test_routing.py
+++ b/turnward/routing/tests/test_routing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Admission, policies, ejection and retry budgets."""
+"""Tests of admission control, policies, ejection and retry budgets."""
 
 import pytest
 from hypothesis import given, settings
@@ -37,9 +37,9 @@
     ticket = offer(queue, "till", admitted).ok
     queue.end(ticket, 30.0, 30.0)
     offer(queue, "till", admitted, 30.0)
-    refused = offer(queue, "till", admitted, 30.0)
-    assert refused.is_error()
-    assert refused.error.retry_after_s >= 1.0
+    rejected = offer(queue, "till", admitted, 30.0)
+    assert rejected.is_error()
+    assert rejected.error.retry_after_s >= 1.0
 
 
 def test_waiting_request_expires_at_its_wait_limit():
@@ -57,15 +57,15 @@
     slots=st.integers(1, 5),
 )
 def test_admission_fills_all_slots_and_never_exceeds_them(order, slots):
-    """Differential: never above the slots, and nobody waits while a slot is free."""
+    """Requests in flight never exceed the slots, and none waits while a slot is free."""
     queue, running, waiting = AdmissionQueue(CLASSES), [], []
     queue.set_slots(slots)
-    for word in order:
-        if word == "end":
+    for action in order:
+        if action == "end":
             if running:
                 queue.end(running.pop(0), 0.01, 0.0)
         else:
-            offered = queue.offer(word, 0.0, lambda ok: None)
+            offered = queue.offer(action, 0.0, lambda ok: None)
             if offered.is_ok():
                 waiting.append(offered.ok)
         running += [ticket for ticket in waiting if ticket.running]
@@ -74,7 +74,7 @@
         assert not waiting or len(running) == slots
 
 
-def views_of(count):
+def make_views(count):
     views = EndpointViews()
     endpoints = [
         Endpoint(name=f"e{number}", pool="p", url="http://127.0.0.1:1", zone="a")
@@ -85,7 +85,7 @@
 
 
 def test_failing_endpoints_are_ejected_up_to_half_of_the_pool():
-    views = views_of(4)
+    views = make_views(4)
     for view in views.all()[:3]:
         for _ in range(3):
             views.sent(view)
@@ -94,7 +94,7 @@
 
 
 def test_suspect_endpoint_returns_with_slow_start():
-    views = views_of(2)
+    views = make_views(2)
     view = views.all()[0]
     for _ in range(3):
         views.sent(view)
@@ -106,14 +106,14 @@
 
 
 def test_draining_endpoint_gets_no_requests():
-    views = views_of(2)
+    views = make_views(2)
     views.report_received(views.all()[0], LoadReport(0, 0, leaving=True), 1.0)
     assert [view.name for view in views.candidates("p")] == ["e1"]
 
 
 @pytest.mark.parametrize("policy", sorted(POLICIES))
 def test_every_policy_chooses_a_candidate(policy):
-    views = views_of(3).all()
+    views = make_views(3).all()
     choice = POLICIES[policy]().choose(RouteRequest("p", "a", "prefix", 10), views, 1.0)
     assert choice.view in views
 
@@ -131,17 +131,17 @@
     trace = GENERATORS["saturday-burst"](load=0.6, duration_s=20.0)
     outage = ReplayOptions(outage_s=(5.0, 10.0))
     report = replay(trace, "score", POLICIES["score"], outage)
-    storm = replay(
+    unlimited = replay(
         trace, "score", POLICIES["score"], ReplayOptions(outage_s=(5.0, 10.0), retry_share=-1.0)
     )
-    assert report.attempts <= 1.2 * len(trace.requests) < storm.attempts
+    assert report.attempts <= 1.2 * len(trace.requests) < unlimited.attempts
 
 
 def test_score_beats_least_in_flight_on_shared_prefixes():
     trace = GENERATORS["saturday-burst"](load=0.8)
-    ours = replay(trace, "score", POLICIES["score"])
-    naive = replay(trace, "least_in_flight", POLICIES["least_in_flight"])
-    assert ours.first_token_mean_s <= 0.7 * naive.first_token_mean_s
+    score_report = replay(trace, "score", POLICIES["score"])
+    baseline_report = replay(trace, "least_in_flight", POLICIES["least_in_flight"])
+    assert score_report.first_token_mean_s <= 0.7 * baseline_report.first_token_mean_s
 
 
 def test_draining_engine_gets_no_requests_despite_late_load_reports():
--- a/turnward/routing/views.py
+++ b/turnward/routing/views.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What one router knows of the endpoints."""
+"""A router's view of the endpoints: requests in flight, failures and load reports."""
 
 from turnward.endpoints import LoadReport
 from turnward.lifecycle import StateMachine
@@ -7,25 +7,24 @@
 
 __all__ = ["EndpointView", "EndpointViews"]
 
-#: Seconds in which a joining endpoint rises to its full share.
+#: Time in which the share of load of a joining endpoint rises to its full value.
 SLOW_START_S = 5.0
-#: Failures in a row after which an endpoint is suspect.
+#: Consecutive failures after which an endpoint is suspect.
 FAILURES_TO_EJECT = 3
-#: Seconds after which a suspect endpoint that reports no load is tried again.
-FORGIVE_S = 5.0
-#: Largest share of a pool's endpoints that may be suspect.
-EJECT_SHARE = 0.5
+#: Time after which a suspect endpoint without load reports is tried again.
+SUSPECT_RETRY_S = 5.0
+MAX_SUSPECT_SHARE = 0.5
 
 
 class EndpointView:
-    """One endpoint as this router sees it.
+    """The state of an endpoint, as seen by this router.
 
     Attributes
     ----------
     in_flight : int
-        This router's own requests on it.
+        Number of this router's requests in flight to the endpoint.
     mean_service_s : float
-        Moving mean of the time its answers took.
+        Exponential moving average of its service time.
     """
 
     __slots__ = (
@@ -58,30 +57,30 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests may go there."""
+        """Whether new requests may be sent to the endpoint."""
         return self.machine.state in ("joining", "ready") and not self.endpoint.drained
 
     def share(self, now_s: float) -> float:
-        """Return the part of its full load that it may take, for slow start."""
+        """Return the share of its full load that it may take, which rises in slow start."""
         if self.machine.state == "ready":
             return 1.0
         return min(1.0, 0.2 + 0.8 * (now_s - self.joined_s) / SLOW_START_S)
 
 
 class EndpointViews:
-    """The endpoints of all pools, kept up with configuration, answers and reports."""
+    """The endpoints of all pools, updated from configuration, responses and load reports."""
 
     def __init__(self):
         self._views: dict[str, EndpointView] = {}
         self._pools: dict[str, list[EndpointView]] = {}
 
     def set_endpoints(self, endpoints: list[Endpoint], now_s: float) -> None:
-        """Take in the configured endpoints."""
-        wanted = {endpoint.name: endpoint for endpoint in endpoints}
+        """Replace the configured endpoints; those with an unchanged URL keep their state."""
+        configured = {endpoint.name: endpoint for endpoint in endpoints}
         for name in list(self._views):
-            if name not in wanted:
+            if name not in configured:
                 self._views.pop(name).machine.fire("removed")
-        for name, endpoint in wanted.items():
+        for name, endpoint in configured.items():
             view = self._views.get(name)
             if view is None or view.endpoint.url != endpoint.url:
                 self._views[name] = EndpointView(endpoint, now_s)
@@ -92,7 +91,7 @@
             self._pools.setdefault(view.endpoint.pool, []).append(view)
 
     def get(self, name: str) -> EndpointView | None:
-        """Return a view by the endpoint's name."""
+        """Return the view of an endpoint by name."""
         return self._views.get(name)
 
     def all(self) -> list[EndpointView]:
@@ -104,15 +103,15 @@
         return self._pools.get(pool, [])
 
     def candidates(self, pool: str) -> list[EndpointView]:
-        """Return the views of a pool that take new work."""
+        """Return the views of a pool that may get new requests."""
         return [view for view in self.pool(pool) if view.takes_work]
 
     def sent(self, view: EndpointView) -> None:
-        """Note a request sent."""
+        """Record that a request was sent."""
         view.in_flight += 1
 
     def ended(self, view: EndpointView, ok: bool, service_s: float, now_s: float) -> None:
-        """Note a request's end; failures in a row make the endpoint suspect."""
+        """Record the end of a request; consecutive failures make the endpoint suspect."""
         view.in_flight -= 1
         if ok:
             view.failures = 0
@@ -128,18 +127,18 @@
             view.ejected_s = now_s
 
     def retry_suspect(self, view: EndpointView, now_s: float) -> None:
-        """Let a suspect endpoint that reports no load try again after a while."""
-        if now_s - view.ejected_s >= FORGIVE_S and view.machine.fire("answered"):
+        """Readmit a suspect endpoint that has no load reports, after ``SUSPECT_RETRY_S``."""
+        if now_s - view.ejected_s >= SUSPECT_RETRY_S and view.machine.fire("answered"):
             view.joined_s = now_s
             view.failures = 0
 
     def end_slow_start(self, view: EndpointView, now_s: float) -> None:
-        """End the slow start once its time is over."""
+        """End the slow start after ``SLOW_START_S``."""
         if now_s - view.joined_s >= SLOW_START_S:
             view.machine.fire("warmed")
 
     def report_received(self, view: EndpointView, report: LoadReport, now_s: float) -> None:
-        """Take in a load report."""
+        """Store a load report, and update the state of the endpoint."""
         view.report = report
         view.reported_s = now_s
         if report.leaving:
@@ -149,7 +148,7 @@
             view.failures = 0
 
     def report_failed(self, view: EndpointView, now_s: float) -> None:
-        """Note that an endpoint did not answer a load question."""
+        """Record that an endpoint did not respond to a load request."""
         view.failures += 1
         if view.failures >= FAILURES_TO_EJECT and self._may_eject(view):
             self._eject(view, now_s)
@@ -157,4 +156,4 @@
     def _may_eject(self, view: EndpointView) -> bool:
         pool = self.pool(view.endpoint.pool)
         suspect = sum(1 for other in pool if other.machine.state == "suspect")
-        return suspect + 1 <= max(1, EJECT_SHARE * len(pool))
+        return suspect + 1 <= max(1, MAX_SUSPECT_SHARE * len(pool))
