--- a/turnward/router/bill_task.py
+++ b/turnward/router/bill_task.py
@@ -85,14 +85,14 @@
         result = await self.writer.flush()
         for bill in result.written:
             self._on_written(bill)
-        for bill, stored_row in result.doubled:
+        for bill, stored_row in result.duplicates:
             self._on_duplicate(bill, stored_row)
         for bill in result.orphaned:
             self._move_to_own_grant(bill)
 
     def _on_written(self, bill: Bill) -> None:
         if bill.row.incarnation == self.writer.incarnation:
-            self._store.note_billed(bill.row.budget, bill.row.tokens)
+            self._store.record_billed_tokens(bill.row.budget, bill.row.tokens)
         self._context.metrics.count("bills.written")
         self._emit("bill.written", bill)
         self._release_records(bill)
--- a/turnward/router/claim_task.py
+++ b/turnward/router/claim_task.py
@@ -4,14 +4,14 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from turnward.claims import ClaimAnswer, ClaimRegister, ClaimRow
+from turnward.claims import ClaimRegister, ClaimResult, ClaimRow
 from turnward.router.task import TaskBase, Tick
 
 __all__ = ["ClaimTask", "KeepClaim", "ReleaseClaim", "TakeClaim"]
 
 
 class TakeClaim(msgspec.Struct, frozen=True, eq=False):
-    """Take the claim of a waiting call; the answer is a ``ClaimAnswer``."""
+    """Take the claim of a waiting call; the answer is a ``ClaimResult``."""
 
     row: ClaimRow
     epoch: int
@@ -53,8 +53,8 @@
         await self.register.flush()
         may_release = any(isinstance(message, ReleaseClaim | Tick) for message in messages)
         if may_release and self.register.abandoned_count:
-            await self.register.release_abandoned()
+            await self.register.remove_abandoned()
 
-    def _answer(self, result: ClaimAnswer, answer: Deferred) -> None:
+    def _answer(self, result: ClaimResult, answer: Deferred) -> None:
         if not answer.called:
             answer.callback(result)
--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -75,7 +75,7 @@
         views = await self.store.read_views(list(token_requests))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
-        taken_tokens = await self.store.apply(self.store.plan_take(token_requests, views))
+        taken_tokens = await self.store.apply(self.store.plan_acquire(token_requests, views))
         for budget in token_requests:
             self.ledger.clear_wanted(budget)
         for budget, tokens in taken_tokens.items():
@@ -142,14 +142,14 @@
         changes = [
             self.store.plan_return(budget, 0)
             for budget in self.ledger.budgets()
-            if self.store.unfolded_tokens(budget) and not self.ledger.free_tokens(budget)
+            if self.store.unreported_tokens(budget) and not self.ledger.free_tokens(budget)
         ]
         await self.store.apply([change for change in changes if change is not None])
 
     async def _return_all(self, message: ReturnTokens) -> None:
         surplus = {}
         for budget in self.ledger.budgets():
-            if self.ledger.free_tokens(budget) > 0 or self.store.unfolded_tokens(budget):
+            if self.ledger.free_tokens(budget) > 0 or self.store.unreported_tokens(budget):
                 surplus[budget] = self.ledger.free_tokens(budget)
         await self._return_tokens(surplus)
         held_tokens = sum(self.ledger.held_tokens(budget) for budget in self.ledger.budgets())
--- a/turnward/router/membership_task.py
+++ b/turnward/router/membership_task.py
@@ -5,7 +5,7 @@
 
 from turnward.fleet import RouterRow, choose_buddies, rendezvous_weight
 from turnward.peers.errors import PeerError
-from turnward.peers.messages import Heartbeat, HeartbeatAck, StatusAsk, StatusReply
+from turnward.peers.messages import Heartbeat, HeartbeatAck, StatusReply, StatusRequest
 from turnward.router.config_task import PeerRevision
 from turnward.router.recovery_task import FenceRouter
 from turnward.router.task import TaskBase
@@ -100,7 +100,7 @@
             await self._registry.set_field(core.incarnation, "buddies", all_buddies)
         core.records.set_buddies(new_buddies)
         core.records.tell(None)
-        if all(core.records.outbox.has_first_copy(buddy) for buddy in new_buddies):
+        if all(core.records.outbox.has_initial_copy(buddy) for buddy in new_buddies):
             await self._registry.set_field(core.incarnation, "buddies", new_buddies)
             self._context.events.emit("fleet.buddies", buddies=",".join(new_buddies))
 
@@ -168,7 +168,7 @@
                 continue
             try:
                 answer = await self._context.peers.ask(
-                    other.peers_address, buddy, StatusAsk(f"silent/{row.incarnation}")
+                    other.peers_address, buddy, StatusRequest(f"silent/{row.incarnation}")
                 )
             except PeerError:
                 continue
--- a/turnward/router/process.py
+++ b/turnward/router/process.py
@@ -5,17 +5,17 @@
 from twisted.internet import defer, task
 from twisted.web import server
 
-from turnward.callers.desk import FlightDesk
-from turnward.callers.face import CallersFace, LimitedSite
+from turnward.callers.http_resource import CallerResource, LimitedSite
+from turnward.callers.request_coordinator import RequestCoordinator
 from turnward.endpoints import HttpEngineClient, HttpServiceClient
 from turnward.events import EventLog, HybridClock, Metrics, SystemClock, get_log, matches
 from turnward.fleet import RouterRow, RouterState
 from turnward.http import HttpClient
-from turnward.operators.face import OperatorsFace
+from turnward.operators.api import OperatorsApi
 from turnward.operators.states import RouterStatus, StateReader
 from turnward.peers.link import PeerLinks
 from turnward.peers.messages import (
-    ConfigAsk,
+    ConfigRequest,
     HandOver,
     HandOverAck,
     Heartbeat,
@@ -27,8 +27,8 @@
     PutRecords,
     RecordsAck,
     ReleaseHeldClaim,
-    StatusAsk,
     StatusReply,
+    StatusRequest,
 )
 from turnward.router.bill_task import FlushBills
 from turnward.router.config_task import ConfigTask, PeerRevision
@@ -69,7 +69,7 @@
             )
         context.peers.handler = self.answer_peer
         self.core = RouterCore(context, new_incarnation(settings.instance), self._replace_core)
-        self.desk = FlightDesk(context, self._current_core)
+        self.coordinator = RequestCoordinator(context, self._current_core)
         self.config = ConfigTask(context)
         self.recovery = RecoveryTask(context, self._current_core, self._replace_current_core)
         self.pairs = PairTask(context, self._current_core, self._replace_current_core)
@@ -116,10 +116,10 @@
         settings = self.context.settings
         self.context.peers.listen(settings.peers_address)
         states = StateReader(self.context, self.status)
-        operators = OperatorsFace(self.context, states, self.leave)
+        operators = OperatorsApi(self.context, states, self.leave)
         self._listen(settings.operators_address, server.Site(operators))
         await self.start_tasks()
-        callers = CallersFace(self.context, self.desk)
+        callers = CallerResource(self.context, self.coordinator)
         self._listen(settings.callers_address, LimitedSite(callers, settings))
         self._log.info("The router serves.", incarnation=self.core.incarnation)
 
@@ -201,11 +201,11 @@
         if isinstance(message, HandOver):
             records = context.book.close(message.fenced)
             return HandOverAck(records, message.holder in self._incarnations)
-        if isinstance(message, ConfigAsk):
+        if isinstance(message, ConfigRequest):
             return self.config.entries_after(message.after)
         if isinstance(message, HoldClaim | ReleaseHeldClaim | MoveShard):
             return self._answer_claim(message)
-        if isinstance(message, StatusAsk):
+        if isinstance(message, StatusRequest):
             return StatusReply(msgspec.json.encode(self._status_body(message.kind)))
         return RecordsAck(False)
 
@@ -244,7 +244,7 @@
             context.settings.zone,
             context.machine.state,
             context.config.revision,
-            self.desk.open_count,
+            self.coordinator.open_count,
             len(core.bills.writer.pending),
             context.book.count(),
             self.pairs.holder.count(),
@@ -284,7 +284,7 @@
         await self._pause(context.settings.drain_grace_s)
         for port in self._ports[1:]:
             port.stopListening()
-        while self.desk.open_count and context.now_s() < deadline_s:
+        while self.coordinator.open_count and context.now_s() < deadline_s:
             await self._pause(_SHUTDOWN_POLL_S)
         while context.now_s() < deadline_s and not await self._emptied():
             await self._pause(_SHUTDOWN_POLL_S)
--- a/turnward/router/record_task.py
+++ b/turnward/router/record_task.py
@@ -103,7 +103,7 @@
             message.answer.callback(False)
 
     async def _send(self, buddy: str, urgent_only: bool) -> None:
-        records = self.outbox.take_unsent(buddy, BATCH_RECORDS, urgent_only)
+        records = self.outbox.next_unsent_records(buddy, BATCH_RECORDS, urgent_only)
         held = False
         row = self._context.rows.get(buddy)
         try:
@@ -121,7 +121,7 @@
         if not result.held:
             self._failed.add(result.buddy)
         else:
-            self.outbox.mark_held(result.buddy, result.records)
+            self.outbox.mark_acknowledged(result.buddy, result.records)
         for record in result.records:
             self._answer_waiter(record, result)
 
@@ -139,7 +139,7 @@
         return any(
             other != buddy
             and other not in self._failed
-            and self.outbox.awaits(other, record.run_id)
+            and self.outbox.awaits_acknowledgement(other, record.run_id)
             for other in self.buddies
         )
 
