--- a/turnward/router/grant_task.py
+++ b/turnward/router/grant_task.py
@@ -85,7 +85,7 @@
                 self._context.events.emit("grant.taken", budget=budget, tokens=tokens)
 
     async def _review(self) -> None:
-        """Return surplus tokens, report billed ones, and evict idle budgets."""
+        """Refresh budget rows, return surplus tokens, write billed ones, and evict idle budgets."""
         now_s = self._last_review_s = self._context.now_s()
         await self._refresh_views()
         await self._return_tokens(self.ledger.plan_returns(now_s))
--- a/turnward/router/recovery_task.py
+++ b/turnward/router/recovery_task.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Fences failed routers and recovers their runs and tokens."""
+"""Fences failed routers and drives their recovery."""
 
 import msgspec
 
--- a/turnward/routing/admission.py
+++ b/turnward/routing/admission.py
@@ -58,7 +58,7 @@
 
 
 class Overload(msgspec.Struct, frozen=True):
-    """The request was rejected, since its expected wait is too long."""
+    """The request was rejected because its expected wait is too long."""
 
     retry_after_s: float
 
