--- a/turnward/router/pair_task.py
+++ b/turnward/router/pair_task.py
@@ -299,25 +299,25 @@
         return row.holders[1] in removed and self._first_holder_for(row.shard) == own
 
     async def _write(
-        self, shard: int, before: ShardRow | None, from_table: bool, second: str | None = None
+        self, shard: int, previous: ShardRow | None, from_table: bool, second: str | None = None
     ) -> None:
         """Write the next epoch, with this router as first holder."""
         own = self._core().incarnation
-        second = second or self._choose_second(shard, before)
+        second = second or self._choose_second(shard, previous)
         if second is None:
             return
-        claims_lost = before is not None and from_table
+        claims_lost = previous is not None and from_table
         row = ShardRow(
             shard,
-            before.epoch + 1 if before else 1,
+            previous.epoch + 1 if previous else 1,
             (own, second),
             from_table,
             self._context.clock.wall_s()
             if claims_lost
-            else (before.unknown_before_s if before else 0.0),
+            else (previous.unknown_before_s if previous else 0.0),
         )
         key = shard_key(shard)
-        check = FieldIs(key, "epoch", before.epoch) if before else Absent(key)
+        check = FieldIs(key, "epoch", previous.epoch) if previous else Absent(key)
         result = await self._context.table.transact(
             Transaction((check, live_check(own)), (Put(key, msgspec.to_builtins(row)),))
         )
@@ -363,10 +363,10 @@
         names = [row.incarnation for row in self._live_rows()]
         return max(names, key=lambda name: rendezvous_weight(str(shard), name), default="")
 
-    def _choose_second(self, shard: int, before: ShardRow | None) -> str | None:
+    def _choose_second(self, shard: int, previous: ShardRow | None) -> str | None:
         own = self._core().incarnation
         zone = self._context.settings.zone
-        current_holders = before.holders if before else ()
+        current_holders = previous.holders if previous else ()
         others = [row for row in self._live_rows() if row.incarnation != own]
 
         def preference(row):
--- a/turnward/routing/admission.py
+++ b/turnward/routing/admission.py
@@ -122,10 +122,10 @@
         self, priority_class: str, now_s: float, on_decision: Callable[[bool], None]
     ) -> Result[Ticket, Overload]:
         """Queue a request, or reject it immediately if it would wait too long."""
-        rule = self._classes[priority_class]
+        class_config = self._classes[priority_class]
         queue = self._queues.setdefault(priority_class, deque())
-        wait_s = self._expected_wait_s(rule)
-        if len(queue) >= rule.queue_limit or wait_s > rule.max_wait_s:
+        wait_s = self._expected_wait_s(class_config)
+        if len(queue) >= class_config.queue_limit or wait_s > class_config.max_wait_s:
             return Error(Overload(max(1.0, wait_s)))
         ticket = Ticket(priority_class, now_s, on_decision)
         queue.append(ticket)
@@ -181,18 +181,20 @@
         return running < self._low_slots
 
     def _is_urgent(self, name: str) -> bool:
-        return self._classes[name].rank == min(rule.rank for rule in self._classes.values())
+        return self._classes[name].rank == min(
+            class_config.rank for class_config in self._classes.values()
+        )
 
     def _below_floor(self, name: str) -> bool:
         floor = self._classes[name].floor_share * self._slots
         return self._running.get(name, 0) < floor
 
-    def _expected_wait_s(self, rule: PriorityClass) -> float:
-        if self.running_count < self._slots and self._has_slot_for(rule.name):
+    def _expected_wait_s(self, class_config: PriorityClass) -> float:
+        if self.running_count < self._slots and self._has_slot_for(class_config.name):
             return 0.0
         ahead = sum(
             len(queue)
             for name, queue in self._queues.items()
-            if self._classes[name].rank <= rule.rank
+            if self._classes[name].rank <= class_config.rank
         )
         return (ahead + 1) * self._mean_service_s / max(1, self._slots)
