--- a/turnward/cli/__init__.py
+++ b/turnward/cli/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The command line."""
+"""The command line interface."""
 
 from turnward.cli.commands import Commands, main
 
--- a/turnward/cli/commands.py
+++ b/turnward/cli/commands.py
@@ -15,11 +15,11 @@
 
 __all__ = ["Commands", "main"]
 
-_WATCH_PAUSE_S = 1.0
+_WATCH_INTERVAL_S = 1.0
 
 
 class StandInCommands:
-    """Stand-ins for the platform and for endpoints; for demos and tests only."""
+    """Stand-ins for the platform and the endpoints, for demos and tests only."""
 
     def platform(self, address: str):
         """Serve a platform stand-in on IP:port."""
@@ -55,7 +55,7 @@
         serve_router(checked)
 
     def gateway(self, settings: str):
-        """Run one gateway with a settings file; ``store_address`` is the platform's."""
+        """Run one gateway with a settings file whose ``store_address`` is the platform's."""
         from turnward.cli.serving import serve_standalone_gateway
 
         serve_standalone_gateway(str(settings))
@@ -68,36 +68,36 @@
         url : str
             Base URL of the platform.
         files : str
-            Resource files; all are checked before any is written.
+            Resource files. All are checked before any row is written.
         """
         from turnward.cli.serving import write_gateway_rows
         from turnward.gateway.standalone import load_gateway_resources
 
         if not files:
             raise CommandError("expected one or more files")
-        resources = [load_gateway_resources(str(name)) for name in files]
+        resources = [load_gateway_resources(str(path)) for path in files]
         rows = [row for resource in resources for row in resource.rows()]
         write_gateway_rows(url, rows)
         print(f"accepted: {len(rows)} rows")
 
     def check(self, *files: str):
-        """Check settings and resource files; name every fault."""
+        """Check settings and resource files and report every error."""
         from turnward.gateway.settings import load_gateway_settings
         from turnward.gateway.standalone import load_gateway_resources
 
         if not files:
             raise CommandError("expected one or more files")
-        for name in files:
-            keys = set(read_toml(name))
+        for path in files:
+            keys = set(read_toml(path))
             if "configuration" in keys:
-                load_gateway_resources(name)
+                load_gateway_resources(path)
             elif "store_address" in keys:
-                load_gateway_settings(name)
+                load_gateway_settings(path)
             elif keys & set(KINDS):
-                load_resources(name)
+                load_resources(path)
             else:
-                load_settings(name)
-            print(f"{name}: good")
+                load_settings(path)
+            print(f"{path}: good")
 
     def apply(self, url: str, key_file: str, *files: str, expect: int | None = None):
         """Apply resource files through a router.
@@ -105,19 +105,19 @@
         Parameters
         ----------
         url : str
-            Base URL of any router's operators' face.
+            Base URL of any router's HTTP API for operators.
         key_file : str
             File that holds the operators' key.
         files : str
             Resource files.
         expect : int, optional
-            Version that a single resource must have.
+            Version that the resource must have now; for files with a single resource.
         """
         changes = []
-        for name in files:
-            resources = load_resources(str(name))
-            for kind, named in resources.by_kind.items():
-                for resource in named.values():
+        for path in files:
+            resources = load_resources(str(path))
+            for kind, by_name in resources.by_kind.items():
+                for resource in by_name.values():
                     change = {
                         "kind": kind,
                         "name": resource.name,
@@ -125,17 +125,17 @@
                         "expected_version": expect,
                     }
                     changes.append(change)
-        answer = OperatorClient(url, key_file).call("POST", "/apply", {"changes": changes})
-        print(f"accepted: {len(changes)} resources, revision {answer['revision']}")
+        response = OperatorClient(url, key_file).call("POST", "/apply", {"changes": changes})
+        print(f"accepted: {len(changes)} resources, revision {response['revision']}")
 
     def remove(self, url: str, key_file: str, kind: str, name: str, expect: int | None = None):
         """Remove a resource."""
         change = {"kind": kind, "name": name, "spec": None, "expected_version": expect}
-        answer = OperatorClient(url, key_file).call("POST", "/apply", {"changes": [change]})
-        print(f"removed: {kind}/{name}, revision {answer['revision']}")
+        response = OperatorClient(url, key_file).call("POST", "/apply", {"changes": [change]})
+        print(f"removed: {kind}/{name}, revision {response['revision']}")
 
     def get(self, url: str, key_file: str, kind: str = "fleet", name: str = ""):
-        """Show resources with their state, or the fleet."""
+        """Show the fleet, or the resources of a kind with their state."""
         client = OperatorClient(url, key_file)
         if kind == "fleet":
             _show(client.call("GET", "/fleet"))
@@ -146,58 +146,59 @@
         _show(client.call("GET", path))
 
     def story(self, request_id: str, *files: str, around_s: float = 3.0):
-        """Tell what happened to one request, from gateways' captured lines.
+        """Show what happened to one request, from captured log lines of gateways.
 
         Parameters
         ----------
         request_id : str
-            The request's id, as the caller has it.
+            The request's id as the caller knows it.
         files : str
-            Files with the lines of one process or of several.
+            Files with the log lines of one or more processes.
         around_s : float
-            Seconds before and after in which changes of belief are shown too.
+            Seconds before and after the request in which state changes of its processes
+            are shown as well.
         """
         from turnward.events.request_history import collect_history, read_lines, render_line
 
         if not files:
             raise CommandError("expected one or more files")
-        lines = [line for name in files for line in read_lines(Path(str(name)))]
-        story = collect_history(lines, str(request_id), around_s)
-        if not story:
-            raise CommandError(f"no line names request {request_id}")
-        for line in story:
+        lines = [line for path in files for line in read_lines(Path(str(path)))]
+        history = collect_history(lines, str(request_id), around_s)
+        if not history:
+            raise CommandError(f"no log line mentions request {request_id}")
+        for line in history:
             print(render_line(line))
 
     def watch(self, url: str, key_file: str, kind: str = "fleet", name: str = "", times: int = 0):
-        """Show a state each time it changes; ``times`` above 0 ends after so many looks."""
+        """Show a state each time it changes; ``times`` above 0 stops after that many reads."""
         client = OperatorClient(url, key_file)
         path = "/fleet" if kind == "fleet" else f"/resources/{kind}/{name}".rstrip("/")
-        last, looks = None, 0
-        while times == 0 or looks < times:
-            seen = client.call("GET", path)
-            if seen != last:
-                _show(seen)
-            last, looks = seen, looks + 1
-            time.sleep(_WATCH_PAUSE_S)
+        last, reads = None, 0
+        while times == 0 or reads < times:
+            state = client.call("GET", path)
+            if state != last:
+                _show(state)
+            last, reads = state, reads + 1
+            time.sleep(_WATCH_INTERVAL_S)
 
     def drain(self, url: str, key_file: str, endpoint: str = "", undo: bool = False):
-        """Drain an endpoint, or without one the router that is asked."""
+        """Drain an endpoint or, if none is given, shut down the router at ``url``."""
         client = OperatorClient(url, key_file)
         if not endpoint:
             _show(client.call("POST", "/leave", {}))
             return
-        found = client.call("GET", f"/resources/endpoints/{endpoint}")
-        if not found:
+        rows = client.call("GET", f"/resources/endpoints/{endpoint}")
+        if not rows:
             raise CommandError(f"no endpoint {endpoint!r}")
-        spec = {**found[0]["spec"], "drained": not undo}
+        spec = {**rows[0]["spec"], "drained": not undo}
         change = {
             "kind": "endpoints",
             "name": endpoint,
             "spec": spec,
-            "expected_version": found[0]["version"],
+            "expected_version": rows[0]["version"],
         }
-        answer = client.call("POST", "/apply", {"changes": [change]})
-        print(f"accepted: revision {answer['revision']}")
+        response = client.call("POST", "/apply", {"changes": [change]})
+        print(f"accepted: revision {response['revision']}")
 
     def timeline(
         self,
@@ -209,22 +210,22 @@
         kind: str = "",
         files: tuple[str, ...] = (),
     ):
-        """Show what happened over all processes, in one order."""
+        """Show the events of all processes in one order."""
         streams = []
-        names = (files,) if isinstance(files, str) else files
-        for name in names:
-            streams.append(msgspec.json.decode(Path(name).read_bytes(), type=list[Event]))
-        wanted = {
+        paths = (files,) if isinstance(files, str) else files
+        for path in paths:
+            streams.append(msgspec.json.decode(Path(path).read_bytes(), type=list[Event]))
+        filters = {
             "request_id": request,
             "workspace": workspace,
             "endpoint": endpoint,
             "kind": kind,
         }
         if url:
-            answer = OperatorClient(url, key_file).call("GET", "/events", query=wanted)
-            streams.append(msgspec.convert(answer, list[Event]))
+            response = OperatorClient(url, key_file).call("GET", "/events", query=filters)
+            streams.append(msgspec.convert(response, list[Event]))
         for event in merge_events(streams):
-            if matches(event, **wanted):
+            if matches(event, **filters):
                 print(render_event(event))
 
 
@@ -239,7 +240,7 @@
     try:
         fire.Fire(Commands, name="turnward")
     except (TurnwardError, OSError, msgspec.DecodeError) as failure:
-        faults = getattr(failure, "faults", None) or [str(failure)]
-        for fault in faults:
-            print(f"turnward: {fault}", file=sys.stderr)
+        messages = getattr(failure, "faults", None) or [str(failure)]
+        for message in messages:
+            print(f"turnward: {message}", file=sys.stderr)
         sys.exit(1)
--- a/turnward/cli/serving.py
+++ b/turnward/cli/serving.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Runs the serving commands on twisted's reactor."""
+"""Runs the serving commands on Twisted's reactor."""
 
 import signal
 
@@ -26,22 +26,21 @@
     "write_gateway_rows",
 ]
 
-#: Seconds that a call to the platform may take.
 PLATFORM_TIMEOUT_S = 2.0
 
 
 def serve_router(settings) -> None:
-    """Run a router until it has left; SIGTERM begins the planned stop."""
+    """Run a router until it has shut down; SIGTERM starts the planned shutdown."""
     reactor = install_steady_reactor()
     log = get_log("router")
     process = RouterProcess.from_config(settings, reactor)
 
-    def failed(failure):
+    def stop_on_error(failure):
         log.error("The router could not start.", cause=failure.getErrorMessage())
         reactor.stop()
 
     def start():
-        defer.ensureDeferred(process.start()).addErrback(failed)
+        defer.ensureDeferred(process.start()).addErrback(stop_on_error)
 
     reactor.callWhenRunning(start)
     process.stopped.addCallback(lambda _: reactor.stop())
@@ -50,7 +49,7 @@
 
 
 def serve_standalone_gateway(path: str) -> None:
-    """Run a gateway over the platform's table until its planned stop is over."""
+    """Run a gateway that stores its rows in the platform's table until it has shut down."""
 
     def make_store(reactor, address, _metrics):
         url = f"http://{address[0]}:{address[1]}"
@@ -60,7 +59,7 @@
 
 
 def write_gateway_rows(url: str, rows: list[tuple[RowKey, bytes]]) -> None:
-    """Write rows to the platform's table, whatever stood there before."""
+    """Write rows to the platform's table and overwrite existing ones."""
     from twisted.internet import reactor
 
     failures = []
@@ -73,9 +72,9 @@
             await table.transact(VersionedTransaction((change,)))
 
     def start():
-        written = defer.ensureDeferred(write())
-        written.addErrback(lambda failure: failures.append(failure.value))
-        written.addBoth(lambda _: reactor.stop())
+        writing = defer.ensureDeferred(write())
+        writing.addErrback(lambda failure: failures.append(failure.value))
+        writing.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
@@ -107,12 +106,12 @@
 def _serve(address: str, root) -> None:
     from twisted.internet import reactor
 
-    parsed = parse_address(address)
-    if parsed is None:
+    host_port = parse_address(address)
+    if host_port is None:
         raise SettingsError([f"address: expected IP:port, found {address!r}"])
     configure_logs()
     site = server.Site(root)
     site.log = lambda request: None
-    reactor.listenTCP(parsed[1], site, interface=parsed[0])
+    reactor.listenTCP(host_port[1], site, interface=host_port[0])
     get_log("standin").info("The stand-in serves.", address=address)
     reactor.run()
