--- a/turnward/endpoints/core.py
+++ b/turnward/endpoints/core.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Clients of endpoints as abstract base classes."""
+"""Abstract base classes for clients of endpoints."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -23,19 +23,19 @@
 
 
 class EndpointError(TurnwardError):
-    """Base class of errors of endpoints."""
+    """Base class for errors of endpoints."""
 
 
 class NotRunError(EndpointError):
-    """It is proved that the endpoint did not run the request."""
+    """The endpoint is known not to have run the request."""
 
 
 class RunUncertainError(EndpointError):
-    """The endpoint may have run the request, wholly or in part."""
+    """The endpoint may have run the request, in whole or in part."""
 
 
 class RunState(StrEnum):
-    """What an engine says of a run."""
+    """State of a run at a model engine."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -44,7 +44,15 @@
 
 
 class RunStatus(msgspec.Struct, frozen=True):
-    """An engine's account of one run, in tokens of prompt and output together."""
+    """Status of one run, as its model engine reports it.
+
+    Attributes
+    ----------
+    used_tokens : int
+        Tokens of the prompt and the output together.
+    reader_gone : bool
+        No client is reading the run's output any more.
+    """
 
     state: RunState
     used_tokens: int = 0
@@ -52,14 +60,14 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """An engine's load; it lags.
+    """Load of a model engine, possibly out of date.
 
     Attributes
     ----------
     running, waiting : int
-        Requests in the batch and in the queue.
+        Number of requests in the batch and in the queue.
     leaving : bool
-        The endpoint takes no new work.
+        The endpoint is draining and accepts no new work.
     """
 
     running: int
@@ -68,7 +76,7 @@
 
 
 class EngineClientBase(ABC):
-    """Talks to a model engine."""
+    """Sends requests to model engines."""
 
     @abstractmethod
     async def chat(
@@ -79,33 +87,33 @@
         on_head: Callable[[HttpResponse], None],
         on_data: Callable[[bytes], None],
     ) -> HttpResponse:
-        """Run a request and pass its answer on as it comes.
+        """Run a request and forward its response while it is received.
 
         Raises
         ------
         NotRunError
-            Nothing was run.
+            The request was not run.
         RunUncertainError
-            The answer ended before its end.
+            The response was incomplete.
         """
 
     @abstractmethod
     async def resume(self, url: str, run_id: str, start: int, on_data) -> HttpResponse:
-        """Pass on the rest of a stream from event number ``start``."""
+        """Forward a run's stream from event number ``start`` on."""
 
     @abstractmethod
     async def run_status(self, url: str, run_id: str) -> RunStatus:
-        """Return what the engine knows of a run.
+        """Return the status of a run.
 
         Raises
         ------
         EndpointError
-            The engine did not say.
+            The engine did not return a status.
         """
 
     @abstractmethod
     async def cancel(self, url: str, run_id: str) -> RunStatus:
-        """Stop a run and return its account."""
+        """Cancel a run and return its status."""
 
     @abstractmethod
     async def load(self, url: str) -> LoadReport:
@@ -113,16 +121,16 @@
 
 
 class ServiceClientBase(ABC):
-    """Talks to a plain service."""
+    """Sends requests to plain services."""
 
     @abstractmethod
     async def call(self, url: str, run_id: str, method: str, path: str, body: bytes, headers):
-        """Send one call on a connection of its own and return the whole answer.
+        """Send one call on a connection of its own and return the complete response.
 
         Raises
         ------
         NotRunError
-            Nothing was sent.
+            The call was not run.
         RunUncertainError
-            The call may have run.
+            The call may have been run.
         """
