--- a/turnward/events/clock.py
+++ b/turnward/events/clock.py
@@ -14,21 +14,21 @@
 
 
 class HybridTimestamp(msgspec.Struct, frozen=True, order=True):
-    """A hybrid time stamp: wall time in milliseconds, then a counter."""
+    """A hybrid timestamp: wall time in milliseconds, then a counter."""
 
     wall_ms: int
     counter: int
 
 
 class HybridClock:
-    """Gives stamps that respect the order of messages between processes."""
+    """Issues timestamps that keep the order of messages between processes."""
 
     def __init__(self, clock: ClockBase):
         self._clock = clock
         self._last = HybridTimestamp(0, 0)
 
     def tick(self) -> HybridTimestamp:
-        """Return the stamp of a local event."""
+        """Return a timestamp for a local event, later than all earlier ones."""
         wall_ms = int(self._clock.wall_s() * 1000)
         if wall_ms > self._last.wall_ms:
             self._last = HybridTimestamp(wall_ms, 0)
@@ -37,5 +37,5 @@
         return self._last
 
     def observe(self, stamp: HybridTimestamp) -> None:
-        """Take in the stamp of a received message."""
+        """Advance the clock to the timestamp of a received message."""
         self._last = max(self._last, stamp)
--- a/turnward/events/logs.py
+++ b/turnward/events/logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Logging: structlog, with a fixed prefix for each part."""
+"""Logging with structlog, with a fixed prefix for each component."""
 
 import sys
 
@@ -9,7 +9,7 @@
 
 
 def configure_logs(as_json: bool = False) -> None:
-    """Send log lines to standard error."""
+    """Write log lines to standard error, as JSON if ``as_json`` is set."""
     renderer = (
         structlog.processors.JSONRenderer()
         if as_json
--- a/turnward/events/metrics.py
+++ b/turnward/events/metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Metrics over statsd; the same counters can be read from the process."""
+"""Metrics sent to statsd; counters and gauges are also kept in the process."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
     Parameters
     ----------
     client : statsd.StatsClient or None
-        Where to send; None keeps the counters in the process only.
+        Destination; None keeps the metrics in the process only.
     """
 
     def __init__(self, client=None):
@@ -24,14 +24,14 @@
 
     @classmethod
     def from_config(cls, address: str, prefix: str = "turnward"):
-        """Build from an ``IP:port`` address; an empty one sends nothing."""
+        """Build from an ``IP:port`` address; with an empty one, nothing is sent."""
         if not address:
             return cls()
         host, port = address.rsplit(":", 1)
         return cls(statsd.StatsClient(host, int(port), prefix=prefix))
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``amount`` to a counter."""
         self.counters[name] += amount
         if self._client:
             self._client.incr(name, amount)
--- a/turnward/events/request_history.py
+++ b/turnward/events/request_history.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tells one request's story from the lines that gateways write to standard output.
+"""Collects the history of one request from the log lines that gateways write.
 
-Lines may carry a prefix of whoever gathered them; a number before the braces is
-taken for the time, otherwise the line's own wall time is.
+A line may have a prefix, added by the program that collected the lines. A number at
+the start of the prefix is used as the line's time, else the line's own wall time.
 """
 
 import re
@@ -13,7 +13,7 @@
 
 __all__ = ["GatewayLine", "parse_line", "read_lines", "render_line", "collect_history"]
 
-#: What changes what a process believes, whichever request it serves.
+#: Changes of a process's state that concern all requests.
 STATE_CHANGE_EVENTS = frozenset(
     (
         "process.started",
@@ -38,7 +38,7 @@
         "log.left_out",
     )
 )
-#: Changes of one workspace's tokens; shown where the request's workspace is known.
+#: Changes of a workspace's tokens, shown if they concern the request's workspace.
 TOKEN_EVENTS = frozenset(
     (
         "prepaid.taken",
@@ -48,14 +48,14 @@
         "prepaid.restored",
     )
 )
-#: What tells why a content is held back; shown of all processes, since all of them hold it back.
+#: Why a content is quarantined; shown for all processes, since all of them quarantine it.
 CONTENT_EVENTS = frozenset(("attempt.failed", "content.held", "content.tried", "content.cleared"))
 
 _PREFIX = re.compile(r"^\s*(-?\d+(?:\.\d+)?)?[^{]*$")
 
 
 class GatewayLine(msgspec.Struct, frozen=True):
-    """One line: when, of which process, what, and its fields."""
+    """One log line of a gateway."""
 
     time_s: float
     incarnation: str
@@ -64,7 +64,7 @@
 
 
 def parse_line(text: str) -> GatewayLine | None:
-    """Return a line's content, or None when it is no line of a gateway.
+    """Parse a line; return None if it is not a log line of a gateway.
 
     Examples
     --------
@@ -90,7 +90,7 @@
 
 
 def read_lines(path: Path) -> list[GatewayLine]:
-    """Return the gateways' lines of a file; other lines are passed over."""
+    """Return the gateways' log lines in a file and ignore other lines."""
     with path.open(encoding="utf-8", errors="replace") as file:
         parsed = (parse_line(text) for text in file)
         return [line for line in parsed if line is not None]
@@ -99,18 +99,28 @@
 def collect_history(
     lines: list[GatewayLine], request_id: str, around_s: float
 ) -> list[GatewayLine]:
-    """Return the lines on a request, and what its processes came to believe around it."""
-    own = [line for line in lines if line.fields.get("request") == request_id]
-    if not own:
+    """Return the lines of a request and the state changes around it, ordered by time.
+
+    Parameters
+    ----------
+    lines : list of GatewayLine
+        Log lines of one or more processes.
+    request_id : str
+        The request's id.
+    around_s : float
+        Seconds before and after the request in which state changes are included.
+    """
+    request_lines = [line for line in lines if line.fields.get("request") == request_id]
+    if not request_lines:
         return []
-    took_s = max(line.fields.get("took_ms", 0.0) for line in own) / 1_000
-    since_s = min(line.time_s for line in own) - took_s - around_s
-    until_s = max(line.time_s for line in own) + around_s
-    incarnations = {line.incarnation for line in own}
-    workspaces = {line.fields.get("workspace") for line in own} - {None, ""}
-    contents = {line.fields.get("content") for line in own} - {None, ""}
-
-    def belongs(line: GatewayLine) -> bool:
+    took_s = max(line.fields.get("took_ms", 0.0) for line in request_lines) / 1_000
+    since_s = min(line.time_s for line in request_lines) - took_s - around_s
+    until_s = max(line.time_s for line in request_lines) + around_s
+    incarnations = {line.incarnation for line in request_lines}
+    workspaces = {line.fields.get("workspace") for line in request_lines} - {None, ""}
+    contents = {line.fields.get("content") for line in request_lines} - {None, ""}
+
+    def is_relevant(line: GatewayLine) -> bool:
         if line.fields.get("request") == request_id:
             return True
         if line.event in CONTENT_EVENTS and line.fields.get("content") in contents:
@@ -121,11 +131,11 @@
             line.event in TOKEN_EVENTS and line.fields.get("workspace") in workspaces
         )
 
-    return sorted((line for line in lines if belongs(line)), key=lambda line: line.time_s)
+    return sorted((line for line in lines if is_relevant(line)), key=lambda line: line.time_s)
 
 
 def render_line(line: GatewayLine) -> str:
-    """Return a line as a person reads it."""
+    """Return a line as readable text."""
     fields = " ".join(
         f"{name}={value}" for name, value in line.fields.items() if value not in (None, "")
     )
--- a/turnward/events/tests/test_events.py
+++ b/turnward/events/tests/test_events.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Clocks, the merged time line, and metrics on the wire."""
+"""Tests of hybrid clocks, the merged timeline and metrics sent to statsd."""
 
 import socket
 
--- a/turnward/events/timeline.py
+++ b/turnward/events/timeline.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The time line: typed events of each process, merged into one ordered account."""
+"""The timeline: typed events of each process, merged into one ordered list."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -13,20 +13,20 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One thing that happened in one process.
+    """An event in one process.
 
     Attributes
     ----------
-    stamp : Stamp
-        Hybrid time.
+    stamp : HybridTimestamp
+        When it happened.
     kind : str
         What happened, such as ``request.sent``.
     instance, zone, incarnation : str
-        Where.
+        Where it happened.
     request_id, workspace, endpoint : str
-        What it concerns; empty where that does not apply.
+        What it concerns; empty if not applicable.
     details : dict
-        Further figures.
+        Further data.
     """
 
     stamp: HybridTimestamp
@@ -41,16 +41,16 @@
 
 
 class EventLog:
-    """Keeps the last events of this process and those not shipped yet.
+    """Keeps the latest events of this process and those not yet written to the object store.
 
     Parameters
     ----------
     clock : HybridClock
-        Source of stamps.
+        Source of timestamps.
     instance, zone, incarnation : str
         Written into each event.
     limit : int
-        How many events are kept for reading.
+        Maximum number of events kept, of the latest and of the unshipped ones each.
     """
 
     def __init__(self, clock: HybridClock, instance: str, zone: str, incarnation="", limit=20_000):
@@ -62,7 +62,7 @@
         self._unshipped: deque[Event] = deque(maxlen=limit)
 
     def emit(self, kind, request_id="", workspace="", endpoint="", **details) -> Event:
-        """Record an event now."""
+        """Record an event at the current time and return it."""
         event = Event(
             self.clock.tick(),
             kind,
@@ -79,22 +79,22 @@
         return event
 
     def recent(self) -> list[Event]:
-        """Return the kept events, oldest first."""
+        """Return the latest events, oldest first."""
         return list(self._events)
 
     def take_unshipped(self) -> list[Event]:
-        """Return events not taken before."""
+        """Return the events that are not shipped yet and remove them from the queue."""
         events = list(self._unshipped)
         self._unshipped.clear()
         return events
 
     def put_back(self, events: list[Event]) -> None:
-        """Return events whose shipping failed."""
+        """Queue events again whose shipping failed."""
         self._unshipped.extendleft(reversed(events))
 
 
 def merge_events(streams: Iterable[Iterable[Event]]) -> list[Event]:
-    """Merge the events of many processes into one order, without doubles."""
+    """Merge the events of several processes in order of time, without duplicates."""
     unique = {}
     for stream in streams:
         for event in stream:
@@ -103,7 +103,7 @@
 
 
 def matches(event: Event, request_id="", workspace="", endpoint="", kind="") -> bool:
-    """Tell whether an event passes the filters; an empty filter passes all."""
+    """Return whether an event passes all filters; an empty filter passes any event."""
     return (
         (not request_id or event.request_id == request_id)
         and (not workspace or event.workspace == workspace)
@@ -119,11 +119,11 @@
         f"{event.instance}/{event.zone}",
         event.kind,
     ]
-    named = {
+    fields = {
         "request": event.request_id,
         "workspace": event.workspace,
         "endpoint": event.endpoint,
         **event.details,
     }
-    parts.extend(f"{name}={value}" for name, value in named.items() if value != "")
+    parts.extend(f"{name}={value}" for name, value in fields.items() if value != "")
     return " ".join(parts)
