--- a/turnward/operators/__init__.py
+++ b/turnward/operators/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The face for operators, and the states it shows."""
+"""The HTTP API for operators and the states that it reports."""
 
 from turnward.operators.http_resource import ApplyRequest, OperatorResource
 from turnward.operators.states import RouterStatus, StateReader
--- a/turnward/operators/http_resource.py
+++ b/turnward/operators/http_resource.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The HTTP face for operators."""
+"""The HTTP API for operators."""
 
 import msgspec
 from twisted.internet import defer
@@ -23,22 +23,22 @@
 
 
 class ApplyRequest(msgspec.Struct, frozen=True):
-    """Changes to apply together."""
+    """Request body of ``POST /apply``: changes to check and apply together."""
 
     changes: list[Change]
 
 
 class OperatorResource(resource.Resource):
-    """Reads and writes resources, and shows what the fleet does.
+    """Serves resources, the fleet's state and events to operators.
 
     Parameters
     ----------
     context : RouterContext
-        The router's shared parts.
+        The router's shared components.
     states : StateReader
-        Gathers states.
+        Collects the states of resources and routers.
     on_shutdown : callable
-        Begins this router's planned stop.
+        Starts this router's planned shutdown.
     """
 
     isLeaf = True
@@ -47,18 +47,18 @@
         super().__init__()
         self._context = context
         self._states = states
-        self._on_leave = on_shutdown
+        self._on_shutdown = on_shutdown
         self._config_log = ConfigLog(context.table)
         self._log = get_log("operators")
 
     def render(self, request):
-        """Answer one request."""
+        """Serve one request."""
         defer.ensureDeferred(self._serve(request))
         return server.NOT_DONE_YET
 
     async def _serve(self, request) -> None:
         try:
-            status, body = await self._answer(request)
+            status, body = await self._dispatch(request)
         except SettingsError as failure:
             status, body = _BAD_REQUEST, {"faults": failure.faults}
         except VersionConflictError as failure:
@@ -79,27 +79,27 @@
         request.write(msgspec.json.encode(body))
         request.finish()
 
-    async def _answer(self, request) -> tuple[int, object]:
+    async def _dispatch(self, request) -> tuple[int, object]:
         parts = request.path.decode("latin-1").strip("/").split("/")
         if parts == ["health"]:
             return 200, {"state": self._context.machine.state}
-        if not self._allowed(request):
+        if not self._is_authorized(request):
             return 401, {"faults": ["expected the operators' bearer key"]}
         route = (request.method.decode("latin-1"), parts[0])
         if route == ("POST", "apply"):
             return await self._apply(request)
         if route == ("POST", "leave"):
-            self._on_leave()
+            self._on_shutdown()
             return 200, {"state": self._context.machine.state}
         if route == ("GET", "resources") and 2 <= len(parts) <= 3 and parts[1] in KINDS:
-            return 200, await self._read(parts[1], parts[2] if len(parts) == 3 else "")
+            return 200, await self._read_resources(parts[1], parts[2] if len(parts) == 3 else "")
         if route == ("GET", "fleet"):
             return 200, await self._states.fleet()
         if route == ("GET", "events"):
             return 200, await self._events(request)
         return 404, {"faults": [f"no such address: {request.path.decode('latin-1')}"]}
 
-    def _allowed(self, request) -> bool:
+    def _is_authorized(self, request) -> bool:
         header = request.getHeader("Authorization") or ""
         key = header.removeprefix("Bearer ").strip()
         return key_hash(key) == self._context.settings.operator_key_sha256
@@ -116,31 +116,31 @@
         self._context.events.emit("config.accepted", revision=revision, changes=len(body.changes))
         return 200, {"revision": revision}
 
-    async def _read(self, kind: str, name: str) -> list[dict]:
+    async def _read_resources(self, kind: str, name: str) -> list[dict]:
         rows = await self._config_log.read_kind(kind, name)
         for row in rows:
             row["state"] = await self._states.resource_state(kind, row["name"], row["version"])
         return rows
 
     async def _events(self, request) -> list:
-        wanted = {
+        filters = {
             name: request.args.get(name.encode(), [b""])[0].decode("latin-1")
             for name in ("request_id", "workspace", "endpoint", "kind")
         }
         streams = [self._context.events.recent()]
-        streams.extend(await self._peer_events(wanted))
+        streams.extend(await self._peer_events(filters))
         streams.append(await self._stored_events())
         merged = merge_events(streams)
-        return [event for event in merged if matches(event, **wanted)]
+        return [event for event in merged if matches(event, **filters)]
 
-    async def _peer_events(self, wanted: dict[str, str]) -> list[list[Event]]:
+    async def _peer_events(self, filters: dict[str, str]) -> list[list[Event]]:
         streams = []
         for row in self._context.live_rows():
             if row.incarnation == self._context.events.incarnation:
                 continue
-            ask = StatusRequest("events/" + msgspec.json.encode(wanted).decode())
+            message = StatusRequest("events/" + msgspec.json.encode(filters).decode())
             try:
-                reply = await self._context.peers.ask(row.peers_address, row.incarnation, ask)
+                reply = await self._context.peers.ask(row.peers_address, row.incarnation, message)
             except PeerError:
                 continue
             if isinstance(reply, StatusReply):
--- a/turnward/operators/states.py
+++ b/turnward/operators/states.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""What operators see: the state of each resource and of each router."""
+"""The state of each resource and router, as operators see it."""
 
 from typing import Any
 
@@ -15,18 +15,18 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """One router's account of itself.
+    """The status that a router reports of itself.
 
     Attributes
     ----------
     revision : int
-        Configuration in force.
+        Revision of the configuration that the router uses.
     endpoints : dict
-        State and this router's requests in flight, by endpoint.
+        By endpoint, its state and this router's requests in flight.
     grants : dict
-        Free tokens by budget.
+        By budget, the free tokens of this router's grant.
     advice : list of str
-        What operators should look at, and what to do.
+        Problems that operators should look into, each with what to do about it.
     """
 
     instance: str
@@ -50,16 +50,26 @@
 
 
 class StateReader:
-    """Gathers states from this router, its peers and the table."""
+    """Collects states from this router, its peers and the table.
+
+    Parameters
+    ----------
+    context : RouterContext
+        The router's shared components.
+    own_status : callable
+        Returns this router's ``RouterStatus``.
+    """
 
     def __init__(self, context, own_status):
         self._context = context
         self._own_status = own_status
 
     async def fleet(self) -> dict[str, Any]:
-        """Return every router's row, with its own account where it answers."""
-        asked = [defer.ensureDeferred(self._router(row)) for row in self._context.rows.values()]
-        routers = await defer.gatherResults(asked, consumeErrors=True)
+        """Return every router's row, with its status if it responds."""
+        pending = [
+            defer.ensureDeferred(self._describe_router(row)) for row in self._context.rows.values()
+        ]
+        routers = await defer.gatherResults(pending, consumeErrors=True)
         live = [router for router in routers if router["status"] is not None]
         revision = self._context.config.revision
         return {
@@ -69,8 +79,8 @@
             "routers": routers,
         }
 
-    async def _router(self, row: RouterRow) -> dict[str, Any]:
-        status = await self._status(row) if row.writable else None
+    async def _describe_router(self, row: RouterRow) -> dict[str, Any]:
+        status = await self._router_status(row) if row.writable else None
         return {
             "incarnation": row.incarnation,
             "zone": row.zone,
@@ -80,7 +90,7 @@
             "advice": _router_advice(row, status),
         }
 
-    async def _status(self, row: RouterRow) -> dict[str, Any] | None:
+    async def _router_status(self, row: RouterRow) -> dict[str, Any] | None:
         own = self._own_status()
         if row.incarnation == own.incarnation:
             return msgspec.to_builtins(own)
@@ -93,30 +103,30 @@
         return msgspec.json.decode(reply.body) if isinstance(reply, StatusReply) else None
 
     async def budget(self, name: str) -> dict[str, Any]:
-        """Return a budget's account: granted, spent and in doubt, by router."""
+        """Return a budget's tokens (granted, spent, in doubt) and the grant of each router."""
         incarnations = list(self._context.rows)
         keys = [grant_key(incarnation, name) for incarnation in incarnations]
         rows = await self._context.table.read([budget_key(name), *keys])
         stored = rows.get(budget_key(name))
         if stored is None:
             return {}
-        account = msgspec.convert(stored.value, BudgetRow)
+        budget = msgspec.convert(stored.value, BudgetRow)
         grants = [msgspec.convert(rows[key].value, GrantRow) for key in keys if key in rows]
         settled = sum(grant.settled_tokens for grant in grants)
         in_doubt = sum(grant.in_doubt_tokens for grant in grants)
         held = sum(grant.granted_tokens - grant.settled_tokens for grant in grants)
         return {
-            "limit_tokens": account.limit_tokens,
-            "limit_in_force_tokens": account.limit_tokens + max(0, -account.ungranted_tokens),
-            "ungranted_tokens": account.ungranted_tokens,
-            "spent_tokens": account.spent_tokens + settled,
+            "limit_tokens": budget.limit_tokens,
+            "limit_in_force_tokens": budget.limit_tokens + max(0, -budget.ungranted_tokens),
+            "ungranted_tokens": budget.ungranted_tokens,
+            "spent_tokens": budget.spent_tokens + settled,
             "held_tokens": held - in_doubt,
             "in_doubt_tokens": in_doubt,
             "grants": {grant.incarnation: grant.granted_tokens for grant in grants},
         }
 
     async def endpoint(self, name: str) -> dict[str, Any]:
-        """Return an endpoint's state at each router and the requests still on it."""
+        """Return an endpoint's state at each router and its requests in flight."""
         fleet = await self.fleet()
         by_router = {
             router["incarnation"]: router["status"]["endpoints"].get(name)
@@ -127,7 +137,7 @@
         return {"in_flight": in_flight, "routers": by_router}
 
     async def resource_state(self, kind: str, name: str, version: int) -> dict[str, Any]:
-        """Return the state of one resource."""
+        """Return the state of a resource at a version."""
         if kind == "budgets":
             return await self.budget(name)
         if kind == "endpoints":
