--- a/turnward/resources/__init__.py
+++ b/turnward/resources/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Resources: types, files and checks."""
+"""Resources of the configuration: types, files, checks and the log of changes."""
 
 from turnward.resources.checks import ResourceSet, load_resources, parse_resources
 from turnward.resources.log import (
--- a/turnward/resources/checks.py
+++ b/turnward/resources/checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Checks of resources, each by itself and all together."""
+"""Checks of single resources and of the references between them."""
 
 import re
 
@@ -12,7 +12,7 @@
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 _URL = re.compile(r"http://[0-9.]+:\d{1,5}")
 
-#: Which field of which kind names a resource of which other kind.
+#: References between resources: kind, field, and the kind that the field refers to.
 _REFERENCES = (
     ("workspaces", "budget", "budgets"),
     ("workspaces", "priority_class", "priority_classes"),
@@ -38,34 +38,34 @@
         self.by_kind[kind][resource.name] = resource
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove a resource if it is there."""
+        """Remove a resource if it exists."""
         self.by_kind[kind].pop(name, None)
 
     def copy(self) -> "ResourceSet":
-        """Return a set that can be changed on its own."""
-        return ResourceSet({kind: dict(named) for kind, named in self.by_kind.items()})
+        """Return a copy that can be changed independently."""
+        return ResourceSet({kind: dict(by_name) for kind, by_name in self.by_kind.items()})
 
     def faults(self) -> list[str]:
-        """Return the faults of single resources and of references between them."""
+        """Return the errors of single resources and of references between them."""
         found = []
-        for kind, named in self.by_kind.items():
-            for resource in named.values():
+        for kind, by_name in self.by_kind.items():
+            for resource in by_name.values():
                 found.extend(
                     f"{kind}.{resource.name}.{fault}" for fault in _resource_faults(resource)
                 )
         for kind, field, target in _REFERENCES:
             found.extend(self._reference_faults(kind, field, target))
-        return found + self._key_faults()
+        return found + self._duplicate_key_faults()
 
-    def _key_faults(self) -> list[str]:
-        seen: dict[str, str] = {}
+    def _duplicate_key_faults(self) -> list[str]:
+        owners: dict[str, str] = {}
         found = []
         for workspace in self.by_kind["workspaces"].values():
-            other = seen.setdefault(workspace.key_sha256, workspace.name)
-            if other != workspace.name:
+            owner = owners.setdefault(workspace.key_sha256, workspace.name)
+            if owner != workspace.name:
                 found.append(
                     f"workspaces.{workspace.name}.key_sha256: expected a key of its own, "
-                    f"found that of {other}"
+                    f"found the key of {owner}"
                 )
         return found
 
@@ -94,7 +94,7 @@
 
 
 def parse_resources(raw: dict, source: str) -> tuple[ResourceSet, list[str]]:
-    """Turn plain data of a resource file into typed resources and list the faults."""
+    """Convert the data of a resource file to typed resources and list its errors."""
     resources = ResourceSet()
     faults = []
     for kind, entries in raw.items():
@@ -111,18 +111,18 @@
             if resource is None:
                 continue
             if resources.get(kind, resource.name) is not None:
-                faults.append(f"{source}: {kind}.{name}: expected one entry, found a second")
+                faults.append(f"{source}: {kind}.{name}: expected one entry, found more")
             resources.put(kind, resource)
     return resources, faults
 
 
 def load_resources(path: str) -> ResourceSet:
-    """Read a resource file; references may point to resources already applied.
+    """Read a resource file, which may refer to resources that were applied before.
 
     Raises
     ------
     SettingsError
-        Names the file and every fault.
+        The file has errors; lists all of them.
     """
     resources, faults = parse_resources(read_toml(path), path)
     if faults:
--- a/turnward/resources/log.py
+++ b/turnward/resources/log.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """The configuration log in the platform's table.
 
-A change takes the next revision in one transaction with the resource's row.
-Routers read the log past the revision they hold, so no router goes back.
-Budgets are kept in the table only, since routers need but the few they serve.
+A change is committed with the next revision in one transaction with the resource's
+row. Routers read the entries after their own revision, so their configuration never
+moves backwards. Budgets are stored in the table only, since each router needs few of them.
 """
 
 from typing import Any
@@ -35,27 +35,27 @@
 HEAD_KEY = "config/head"
 ENTRIES_PREFIX = "config/entry/"
 RESOURCES_PREFIX = "config/resource/"
-#: Changes in one transaction; each takes up to three items of the table's limit of 100.
+#: Changes per transaction; each uses up to three of the 100 items that the table allows.
 BATCH_CHANGES = 25
-#: Kinds that routers do not hold.
+#: Kinds that routers do not keep in memory.
 TABLE_ONLY_KINDS = frozenset({"budgets"})
-_RETRIES = 8
+_COMMIT_ATTEMPTS = 8
 
 
 class VersionConflictError(TurnwardError):
-    """Another operator changed the resource first."""
+    """The resource or the configuration was changed in the meantime."""
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One wanted change.
+    """A requested change of one resource.
 
     Attributes
     ----------
     spec : dict or None
         The resource, or None to remove it.
     expected_version : int or None
-        The revision the writer has seen; 0 for a resource that must not
-        exist; None to overwrite whatever is there.
+        Version that the resource must have; 0 if it must not exist; None to
+        overwrite any version.
     """
 
     kind: str
@@ -65,7 +65,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One accepted change."""
+    """An accepted change of one resource."""
 
     revision: int
     kind: str
@@ -76,7 +76,7 @@
 
 
 class ConfigState:
-    """The resources in force in one process, at one revision."""
+    """The resources that a process uses, at one revision."""
 
     __slots__ = ("resources", "revision", "versions")
 
@@ -86,7 +86,7 @@
         self.revision = 0
 
     def take(self, entry: LogEntry) -> bool:
-        """Take in the next entry; False when it is not the next one."""
+        """Apply an entry; return False if its revision is not the next one."""
         if entry.revision != self.revision + 1:
             return False
         self.revision = entry.revision
@@ -94,7 +94,7 @@
         return True
 
     def set(self, kind: str, name: str, spec, version: int) -> None:
-        """Put one resource in force without moving the revision."""
+        """Set or remove a resource without changing the revision."""
         if kind in TABLE_ONLY_KINDS:
             return
         if spec is None:
@@ -127,12 +127,12 @@
         return row.value["revision"] if row else 0
 
     async def entries_after(self, revision: int, limit: int = 500) -> list[LogEntry]:
-        """Return accepted changes past a revision, in order."""
+        """Return the changes accepted after a revision, in order."""
         rows = await self._table.scan(ENTRIES_PREFIX, entry_key(revision), limit)
         return [msgspec.convert(row.value, LogEntry) for row in rows]
 
     async def load(self) -> ConfigState:
-        """Return the whole configuration as of one revision."""
+        """Return the complete configuration at one revision."""
         while True:
             state = ConfigState()
             state.revision = await self.head()
@@ -160,7 +160,7 @@
         Raises
         ------
         SettingsError
-            Names every fault; nothing was applied.
+            A change is invalid; lists all errors. No change was applied.
         VersionConflictError
             A resource is not at the expected version.
         """
@@ -175,24 +175,24 @@
     async def _check(self, changes: list[Change]) -> None:
         faults = []
         state = await self.load()
-        merged = state.resources.copy()
-        for row in await self._budget_rows(changes, merged):
+        resources = state.resources.copy()
+        for row in await self._budget_rows(changes, resources):
             if row["spec"] is not None:
-                merged.put("budgets", msgspec.convert(row["spec"], KINDS["budgets"]))
+                resources.put("budgets", msgspec.convert(row["spec"], KINDS["budgets"]))
         for change in changes:
             if change.spec is None:
-                merged.remove(change.kind, change.name)
+                resources.remove(change.kind, change.name)
                 continue
-            resource, found = convert_checked(change.spec, KINDS[change.kind])
-            faults.extend(f"{change.kind}.{change.name}.{fault}" for fault in found)
+            resource, own_faults = convert_checked(change.spec, KINDS[change.kind])
+            faults.extend(f"{change.kind}.{change.name}.{fault}" for fault in own_faults)
             if resource is not None:
-                merged.put(change.kind, resource)
-        faults.extend(merged.faults())
+                resources.put(change.kind, resource)
+        faults.extend(resources.faults())
         if faults:
             raise SettingsError(faults)
 
-    async def _budget_rows(self, changes, merged: ResourceSet) -> list[dict[str, Any]]:
-        names = {workspace.budget for workspace in merged.by_kind["workspaces"].values()}
+    async def _budget_rows(self, changes, resources: ResourceSet) -> list[dict[str, Any]]:
+        names = {workspace.budget for workspace in resources.by_kind["workspaces"].values()}
         names.update(
             str(change.spec.get("budget", ""))
             for change in changes
@@ -203,9 +203,9 @@
 
     async def _apply_batch(self, batch: list[Change], now_s: float) -> int:
         apply_id = new_id()
-        for _ in range(_RETRIES):
+        for _ in range(_COMMIT_ATTEMPTS):
             head = await self.head()
-            transaction = await self._transaction(batch, head, apply_id, now_s)
+            transaction = await self._build_transaction(batch, head, apply_id, now_s)
             last = head + len(batch)
             try:
                 result = await self._table.transact(transaction)
@@ -217,14 +217,16 @@
                 return last
             if await self._is_committed(last, apply_id):
                 return last
-        raise VersionConflictError("the configuration keeps changing", "try again")
+        raise VersionConflictError("the configuration changed during every attempt", "try again")
 
     async def _is_committed(self, revision: int, apply_id: str) -> bool:
         key = entry_key(revision)
         row = (await self._table.read([key])).get(key)
         return row is not None and row.value["apply_id"] == apply_id
 
-    async def _transaction(self, batch, head: int, apply_id: str, now_s: float) -> Transaction:
+    async def _build_transaction(
+        self, batch, head: int, apply_id: str, now_s: float
+    ) -> Transaction:
         keys = [resource_key(change.kind, change.name) for change in batch]
         rows = await self._table.read(keys)
         checks: list[Check] = [FieldIs(HEAD_KEY, "revision", head) if head else Absent(HEAD_KEY)]
@@ -236,7 +238,7 @@
             revision = head + offset
             entry = LogEntry(revision, change.kind, change.name, change.spec, apply_id, now_s)
             writes.append(Put(entry_key(revision), msgspec.to_builtins(entry)))
-            writes.append(Put(key, _stored(change, revision)))
+            writes.append(Put(key, _resource_row(change, revision)))
             if change.kind == "budgets":
                 writes.extend(await self._budget_writes(change, checks))
         return Transaction(tuple(checks), tuple(writes))
@@ -253,7 +255,7 @@
         return [Add(key, "limit_tokens", delta), Add(key, "ungranted_tokens", delta)]
 
 
-def _stored(change: Change, revision: int) -> dict[str, Any]:
+def _resource_row(change: Change, revision: int) -> dict[str, Any]:
     return {
         "kind": change.kind,
         "name": change.name,
@@ -265,10 +267,10 @@
 def _require_version(change: Change, row) -> None:
     if change.expected_version is None:
         return
-    found = row.value["version"] if row and row.value["spec"] is not None else 0
-    if found != change.expected_version:
+    version = row.value["version"] if row and row.value["spec"] is not None else 0
+    if version != change.expected_version:
         raise VersionConflictError(
-            f"{change.kind}/{change.name} is at version {found}, not {change.expected_version}",
+            f"{change.kind}/{change.name} is at version {version}, not {change.expected_version}",
             "read it again and repeat the change",
         )
 
--- a/turnward/resources/tests/test_log.py
+++ b/turnward/resources/tests/test_log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The configuration log under lost answers and races."""
+"""Tests of the configuration log with lost responses, conflicting and invalid changes."""
 
 import pytest
 
@@ -51,8 +51,8 @@
     run(log.apply([Change("models", "m", model), budget(10)], 0.0))
     run(log.apply([Change("models", "m", {**model, "default_output_tokens": 6})], 0.0))
     loaded = run(log.load())
-    played = type(loaded)()
+    replayed = type(loaded)()
     for entry in run(log.entries_after(0)):
-        assert played.take(entry)
-    assert played.revision == loaded.revision == 3
-    assert played.resources.by_kind == loaded.resources.by_kind
+        assert replayed.take(entry)
+    assert replayed.revision == loaded.revision == 3
+    assert replayed.resources.by_kind == loaded.resources.by_kind
--- a/turnward/resources/types.py
+++ b/turnward/resources/types.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The resources that operators write: workspaces, budgets, pools, endpoints and so on."""
+"""Types of the resources that operators configure, such as workspaces and endpoints."""
 
 from typing import Literal
 
@@ -19,14 +19,14 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A customer's space: its key, its budget and its usual priority class.
+    """A customer's account with its key, budget and default priority class.
 
     Attributes
     ----------
     key_sha256 : str
-        SHA-256 in hexadecimal of the bearer key.
+        SHA-256 of the bearer key in hexadecimal.
     retry_share : float
-        Retries allowed per success.
+        Retries allowed per successful request.
     """
 
     name: str
@@ -44,7 +44,13 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A call of a plain service, by method and path prefix."""
+    """A kind of call of a plain service, matched by method and path prefix.
+
+    Attributes
+    ----------
+    repeatable : bool
+        The call may be retried even if it may have been run.
+    """
 
     method: str
     path: str
@@ -53,7 +59,7 @@
 
 
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A set of like endpoints; a pool of kind ``service`` is reached by its name."""
+    """A set of equivalent endpoints; callers address a pool of kind ``service`` by name."""
 
     name: str
     kind: Literal["engine", "service"]
@@ -63,12 +69,12 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One back end of a pool.
+    """A back end that serves requests of a pool.
 
     Attributes
     ----------
     drained : bool
-        Operators want no new work on it.
+        Set by operators; the endpoint gets no new work.
     """
 
     name: str
@@ -80,7 +86,7 @@
 
 
 class Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A model that callers name."""
+    """A model that callers may request by name."""
 
     name: str
     default_output_tokens: int = 256
@@ -88,14 +94,14 @@
 
 
 class PriorityClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How urgent a request is; a lower ``rank`` goes first.
+    """Urgency of a request; a class with a lower ``rank`` is served first.
 
     Attributes
     ----------
     max_wait_s : float
-        A request that would wait longer is refused at once.
+        Longest wait; a request expected to wait longer is rejected at once.
     floor_share : float
-        Share of the slots that higher ranks leave to this class.
+        Share of the slots that more urgent classes leave to this one.
     """
 
     name: str
@@ -107,7 +113,7 @@
 
 Resource = Workspace | Budget | Pool | Endpoint | Model | PriorityClass
 
-#: Resource types by the plural name used in files, addresses and the command line.
+#: Resource types by the plural names used in files, URLs and the command line.
 KINDS: dict[str, type] = {
     "workspaces": Workspace,
     "budgets": Budget,
