--- a/turnward/operators/states.py
+++ b/turnward/operators/states.py
@@ -21,6 +21,8 @@
     ----------
     revision : int
         Revision of the configuration that the router uses.
+    held_records, held_claims : int
+        Number of run records and of claims that the router holds.
     endpoints : dict
         By endpoint, its state and this router's requests in flight.
     grants : dict
