--- a/tools/bench.py
+++ b/tools/bench.py
@@ -96,7 +96,7 @@
             outage_s=(10.0, 15.0), retry_share=-1.0
         ),
         "first engine leaves at 10 s, reports 2 s late": ReplayOptions(
-            leave_s=10.0, report_lag_s=2.0
+            drain_at_s=10.0, report_lag_s=2.0
         ),
         "no admission": ReplayOptions(admission=False),
     }
@@ -129,10 +129,12 @@
 def budget_page() -> str:
     """False refusals and overspend of each scheme."""
     rows = []
-    for fill in FILLS:
+    for limit_ratio in FILLS:
         for skew, shift in SKEWS:
             for outage_s in OUTAGES_S:
-                scenario = BudgetScenario(fill=fill, skew=skew, shift=shift, outage_s=outage_s)
+                scenario = BudgetScenario(
+                    limit_ratio=limit_ratio, skew=skew, shift=shift, outage_s=outage_s
+                )
                 rows.append(_budget_row(scenario))
     horizon_rows = []
     for horizon_s in HORIZONS_S:
@@ -163,7 +165,7 @@
     cells = [f"{report.false_refusals} / {report.true_refusals}" for report in reports]
     overspend = max(report.overspent_tokens for report in reports)
     return [
-        f"{scenario.fill:g}",
+        f"{scenario.limit_ratio:g}",
         f"{scenario.skew:g}",
         "yes" if scenario.shift else "no",
         f"{scenario.outage_s:g}",
--- a/turnward/ledger/tests/test_ledger.py
+++ b/turnward/ledger/tests/test_ledger.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("outage_s", [0, 30, 60])
 @pytest.mark.parametrize(("skew", "shift"), [(0.7, False), (0.7, True)])
 def test_grants_cause_fewer_false_refusals_than_even_split_near_the_limit(outage_s, skew, shift):
-    scenario = BudgetScenario(fill=0.9, skew=skew, shift=shift, outage_s=outage_s)
+    scenario = BudgetScenario(limit_ratio=0.9, skew=skew, shift=shift, outage_s=outage_s)
     grants, even_split = replay_budget(scenario, "grants"), replay_budget(scenario, "even_split")
     assert grants.overspent_tokens == even_split.overspent_tokens == 0
     assert grants.false_refusals < even_split.false_refusals / 3
--- a/turnward/replay/__init__.py
+++ b/turnward/replay/__init__.py
@@ -8,7 +8,7 @@
     replay_budget,
 )
 from turnward.replay.simulation import ClassReport, ReplayOptions, ReplayReport, replay
-from turnward.replay.trace import GENERATORS, Trace, TraceError, TraceHead, TraceRequest
+from turnward.replay.trace import GENERATORS, Trace, TraceError, TraceHeader, TraceRequest
 
 __all__ = [
     "BUDGET_SCHEMES",
@@ -20,7 +20,7 @@
     "ReplayReport",
     "Trace",
     "TraceError",
-    "TraceHead",
+    "TraceHeader",
     "TraceRequest",
     "replay",
     "replay_budget",
--- a/turnward/replay/budgets.py
+++ b/turnward/replay/budgets.py
@@ -45,7 +45,7 @@
     request_tokens: int = 200
     duration_s: float = 400.0
     outage_s: float = 0.0
-    fill: float = 2.0
+    limit_ratio: float = 2.0
     skew: float = 0.25
     shift: bool = False
     horizon_s: float = 120.0
@@ -203,7 +203,7 @@
     """Play a scenario through a scheme."""
     rng = random.Random(scenario.seed)
     asked_tokens = scenario.requests * scenario.request_tokens
-    limit_tokens = int(asked_tokens * scenario.fill)
+    limit_tokens = int(asked_tokens * scenario.limit_ratio)
     decider = BUDGET_SCHEMES[scheme](scenario, limit_tokens)
     outage_from_s = scenario.duration_s / 2
     outage_to_s = outage_from_s + scenario.outage_s
--- a/turnward/replay/simulation.py
+++ b/turnward/replay/simulation.py
@@ -46,7 +46,7 @@
         From when to when every engine refuses; empty for never.
     retry_share : float
         Retry budget of a workspace; below 0 for retries without limit.
-    leave_s : float
+    drain_at_s : float
         When the first engine begins to leave; below 0 for never.
     """
 
@@ -56,7 +56,7 @@
     report_lag_s: float = 0.0
     outage_s: tuple[float, ...] = ()
     retry_share: float = 0.2
-    leave_s: float = -1.0
+    drain_at_s: float = -1.0
 
 
 class ClassReport(msgspec.Struct, frozen=True):
@@ -116,14 +116,14 @@
                 zone=engine.zone,
                 slots=engine.batch.slots,
             )
-            for engine in trace.head.engines
+            for engine in trace.header.engines
         ]
         self.views.set_endpoints(endpoints, -60.0)
         for view in self.views.all():
             view.machine.fire("warmed")
-        self.queue = AdmissionQueue({rule.name: rule for rule in trace.head.classes})
+        self.queue = AdmissionQueue({rule.name: rule for rule in trace.header.classes})
         slots = sum(endpoint.slots for endpoint in endpoints)
-        fleet_size = len(trace.head.routers)
+        fleet_size = len(trace.header.routers)
         self.policy.fleet_size = fleet_size
         share = admission_slots(slots, fleet_size)
         if options.admission:
@@ -165,12 +165,12 @@
             engine.name: _Engine(
                 engine, options.slowness if engine.name == options.slow_engine else 1.0
             )
-            for engine in trace.head.engines
+            for engine in trace.header.engines
         }
         self._routers = [
-            _Router(zone, trace, make_policy(), options) for zone in trace.head.routers
+            _Router(zone, trace, make_policy(), options) for zone in trace.header.routers
         ]
-        self._rules: dict[str, PriorityClass] = {rule.name: rule for rule in trace.head.classes}
+        self._rules: dict[str, PriorityClass] = {rule.name: rule for rule in trace.header.classes}
         self._runs: dict[str, _Flight] = {}
         self._open = len(trace.requests)
         self.waits = {name: HdrHistogram(1, _HIGHEST_US, 3) for name in self._rules}
@@ -182,8 +182,8 @@
         for request in self._trace.requests:
             self._at(request.at_s, self._arrive, request)
         self._at(0.0, self._reports)
-        if self._options.leave_s >= 0:
-            self._at(self._options.leave_s, self._leave)
+        if self._options.drain_at_s >= 0:
+            self._at(self._options.drain_at_s, self._leave)
         while self._events and self._open:
             self.now_s, _, action, arguments = heapq.heappop(self._events)
             action(*arguments)
@@ -295,7 +295,7 @@
         self._open -= 1
 
     def _reports(self) -> None:
-        lag_s = self._options.report_lag_s or self._trace.head.report_lag_s
+        lag_s = self._options.report_lag_s or self._trace.header.report_lag_s
         for router in self._routers:
             for view in router.views.all():
                 if self._is_out():
@@ -316,7 +316,7 @@
         hits = sum(engine.batch.cache_hits for engine in self._engines.values())
         misses = sum(engine.batch.cache_misses for engine in self._engines.values())
         return ReplayReport(
-            self._trace.head.name,
+            self._trace.header.name,
             policy,
             {name: self._class_report(name) for name in sorted(self._rules)},
             round(self.wait_sum_s / max(1, answered), 6),
--- a/turnward/replay/trace.py
+++ b/turnward/replay/trace.py
@@ -11,7 +11,7 @@
 from turnward.resources import PriorityClass
 from turnward.standins import BatchSettings
 
-__all__ = ["GENERATORS", "Trace", "TraceEngine", "TraceError", "TraceHead", "TraceRequest"]
+__all__ = ["GENERATORS", "Trace", "TraceEngine", "TraceError", "TraceHeader", "TraceRequest"]
 
 
 class TraceError(TurnwardError):
@@ -26,7 +26,7 @@
     batch: BatchSettings = BatchSettings()
 
 
-class TraceHead(msgspec.Struct, frozen=True, kw_only=True):
+class TraceHeader(msgspec.Struct, frozen=True, kw_only=True):
     """First line of a trace.
 
     Attributes
@@ -61,7 +61,7 @@
 class Trace(msgspec.Struct, frozen=True):
     """A head and its requests in order of time."""
 
-    head: TraceHead
+    header: TraceHeader
     requests: list[TraceRequest]
 
     @classmethod
@@ -76,7 +76,7 @@
         lines = Path(path).read_bytes().splitlines()
         if not lines:
             raise TraceError(f"{path}: expected a head line, found nothing")
-        types = [TraceHead] + [TraceRequest] * (len(lines) - 1)
+        types = [TraceHeader] + [TraceRequest] * (len(lines) - 1)
         parts = []
         for line, part_type in zip(lines, types, strict=True):
             try:
@@ -87,7 +87,7 @@
 
     def write(self, path: str) -> None:
         """Write a trace file."""
-        parts = [self.head, *self.requests]
+        parts = [self.header, *self.requests]
         Path(path).write_bytes(b"".join(msgspec.json.encode(part) + b"\n" for part in parts))
 
 
@@ -112,7 +112,7 @@
         PriorityClass(name="till", rank=0, max_wait_s=1.5, queue_limit=500),
         PriorityClass(name="statement", rank=5, max_wait_s=15.0, floor_share=0.1),
     ]
-    head = TraceHead(
+    header = TraceHeader(
         name="till-rush",
         seed=seed,
         routers=["ost-a", "ost-b", "ost-c"],
@@ -131,10 +131,10 @@
         workspace = f"partner-{min(9, int(rng.paretovariate(1.2)) - 1)}"
         output_tokens = rng.randint(8, 20) if till else rng.randint(50, 130)
         requests.append(
-            _request(rng, head, at_s, len(requests), workspace,
+            _request(rng, header, at_s, len(requests), workspace,
                      "till" if till else "statement", workspace, output_tokens)
         )  # fmt: skip
-    return Trace(head, requests)
+    return Trace(header, requests)
 
 
 def saturday_burst(seed: int = 2, load: float = 0.8, duration_s: float = 40.0) -> Trace:
@@ -149,7 +149,7 @@
         PriorityClass(name="newsroom", rank=1, max_wait_s=3.0, queue_limit=500),
         PriorityClass(name="fan", rank=5, max_wait_s=12.0, floor_share=0.1),
     ]
-    head = TraceHead(
+    header = TraceHeader(
         name="saturday-burst",
         seed=seed,
         routers=["hall-1", "hall-2", "hall-3", "hall-4"],
@@ -167,19 +167,19 @@
         urgent = rng.random() < 0.25
         workspace = f"sport-{rng.randint(1, 4)}"
         requests.append(
-            _request(rng, head, at_s, len(requests), workspace,
+            _request(rng, header, at_s, len(requests), workspace,
                      "newsroom" if urgent else "fan", f"match-{match}", rng.randint(16, 64))
         )  # fmt: skip
-    return Trace(head, requests)
+    return Trace(header, requests)
 
 
-def _request(rng, head, at_s, number, workspace, priority_class, prefix, output_tokens):
+def _request(rng, header, at_s, number, workspace, priority_class, prefix, output_tokens):
     return TraceRequest(
         at_s=round(at_s, 6),
-        request_id=f"{head.name}-{number}",
+        request_id=f"{header.name}-{number}",
         workspace=workspace,
         priority_class=priority_class,
-        router=rng.randrange(len(head.routers)),
+        router=rng.randrange(len(header.routers)),
         prefix=prefix,
         prompt_tokens=rng.randint(150, 600),
         output_tokens=output_tokens,
--- a/turnward/routing/tests/test_routing.py
+++ b/turnward/routing/tests/test_routing.py
@@ -146,7 +146,7 @@
 
 def test_draining_engine_gets_no_requests_despite_late_load_reports():
     trace = GENERATORS["saturday-burst"](load=0.6, duration_s=20.0)
-    options = ReplayOptions(leave_s=10.0, report_lag_s=2.0)
+    options = ReplayOptions(drain_at_s=10.0, report_lag_s=2.0)
     report = replay(trace, "score", POLICIES["score"], options)
     assert report.last_new_work_s <= 10.0
     assert sum(entry.refused for entry in report.classes.values()) == 0
