--- a/turnward/peers/recovery.py
+++ b/turnward/peers/recovery.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Recovers a dead router: fences it, settles its runs, returns what is proved unspent."""
+"""Recovers a crashed router: bills its runs and returns tokens known to be unspent."""
 
 from enum import StrEnum
 
@@ -44,7 +44,7 @@
 
 
 class RecoveryState(StrEnum):
-    """How far a recovery is."""
+    """State of a recovery."""
 
     WAITING_FOR_HOLDERS = "waiting_for_holders"
     WAITING_FOR_ENDPOINTS = "waiting_for_endpoints"
@@ -52,33 +52,35 @@
     CLOSED_IN_DOUBT = "closed_in_doubt"
 
 
-class _Gathered(msgspec.Struct):
-    """Records of a fenced router, and whether a holder of some was lost."""
+class _CollectedRecords(msgspec.Struct):
+    """Records of a fenced router, and the holders that are unreachable or lost."""
 
     records: dict[str, RunRecord]
-    unreachable: list[str]
-    lost: list[str]
+    unreachable_holders: list[str]
+    lost_holders: list[str]
 
 
 class Recoverer:
-    """Recovers one fenced incarnation at a time; every step may be repeated.
+    """Recovers fenced incarnations; every step may be repeated.
 
     Parameters
     ----------
     table : TableBase
-        The platform's table.
+        The shared store's table.
     registry : RouterRegistry
         The router rows.
     peers : PeersBase
-        Asks the other holders.
+        Sends requests to the other holders.
     book : RecordBook
-        Records this router holds.
+        Records that this router holds.
     engines : EngineClientBase
-        Asks endpoints for their account of a run.
+        Asks endpoints for the status of a run.
     endpoint_url : callable
-        Gives the URL of an endpoint's name, or None when it is not configured.
+        Returns the URL of an endpoint by name, or None if it is not configured.
     is_engine : callable
-        Tells whether an endpoint is a model engine.
+        Returns whether an endpoint, by name, is a model engine.
+    events : EventLog
+        Receives the events of recoveries.
     """
 
     def __init__(
@@ -103,28 +105,32 @@
         self._settled: dict[str, set[str]] = {}
 
     async def step(
-        self, row: RouterRow, own: str, rows: dict[str, RouterRow], listed: set[str] | None
+        self,
+        row: RouterRow,
+        own_incarnation: str,
+        rows: dict[str, RouterRow],
+        listed_instances: set[str] | None,
     ) -> RecoveryState:
-        """Take a fenced router's recovery as far as it goes now.
+        """Advance a fenced router's recovery as far as currently possible.
 
         Parameters
         ----------
         row : RouterRow
-            The fenced row, read after the fence.
-        own : str
-            This router's incarnation, which holds the duty.
+            The fenced router's row, read after fencing.
+        own_incarnation : str
+            This router's incarnation, which is the recoverer.
         rows : dict
             All router rows.
-        listed : set of str or None
-            The platform's live instances; None when the list is not to be had.
+        listed_instances : set of str or None
+            The platform's live instances; None if the list is not available.
         """
-        gathered = await self._gather(row, own, rows, listed)
-        if gathered.unreachable:
+        collected = await self._collect_records(row, own_incarnation, rows, listed_instances)
+        if collected.unreachable_holders:
             return RecoveryState.WAITING_FOR_HOLDERS
-        writer = BillWriter(self._table, own)
+        writer = BillWriter(self._table, own_incarnation)
         waiting = False
         settled = self._settled.setdefault(row.incarnation, set())
-        for record in gathered.records.values():
+        for record in collected.records.values():
             if record.run_id in settled:
                 continue
             used_tokens = await self._used_tokens(record)
@@ -132,7 +138,7 @@
                 waiting = True
                 continue
             if used_tokens == 0 and record.repeatable and self._is_engine(record.endpoint):
-                # Proved not to have run; a bill would stand in the way of a retry's.
+                # The run is known not to have happened; a bill would block that of a retry.
                 settled.add(record.run_id)
                 self._emit("recovery.not_run", record, row.incarnation)
                 continue
@@ -141,28 +147,30 @@
         await self._write(writer, row)
         if waiting:
             return RecoveryState.WAITING_FOR_ENDPOINTS
-        return await self._close(row, own, bool(gathered.lost))
+        return await self._close(row, own_incarnation, bool(collected.lost_holders))
 
-    async def _gather(self, row: RouterRow, own: str, rows, listed) -> _Gathered:
-        gathered = _Gathered({}, [], [])
+    async def _collect_records(
+        self, row: RouterRow, own_incarnation: str, rows, listed_instances
+    ) -> _CollectedRecords:
+        collected = _CollectedRecords({}, [], [])
         for holder in row.buddies:
-            if holder == own:
+            if holder == own_incarnation:
                 records = self._book.close(row.incarnation)
                 answer = HandOverAck(records, True)
             else:
                 answer = await self._ask_holder(holder, row.incarnation, rows)
             if answer is not None and answer.was_holder:
-                _merge(gathered.records, answer.records)
-            elif answer is not None or _is_off_list(holder, listed):
-                gathered.lost.append(holder)
+                _merge(collected.records, answer.records)
+            elif answer is not None or _is_unlisted(holder, listed_instances):
+                collected.lost_holders.append(holder)
             else:
-                gathered.unreachable.append(holder)
-        _merge(gathered.records, self._book.close(row.incarnation))
-        _merge(gathered.records, await self._stored_records(row.incarnation))
-        return gathered
+                collected.unreachable_holders.append(holder)
+        _merge(collected.records, self._book.close(row.incarnation))
+        _merge(collected.records, await self._stored_records(row.incarnation))
+        return collected
 
     async def _ask_holder(self, holder: str, fenced: str, rows) -> HandOverAck | None:
-        """Ask the process that was ``holder``; it may be another incarnation by now."""
+        """Ask the process that was ``holder``, under its current incarnation, for records."""
         instance = instance_of(holder)
         for row in rows.values():
             if row.instance != instance or not row.writable:
@@ -181,10 +189,10 @@
         return [msgspec.convert(row.value, RunRecord) for row in rows]
 
     async def _used_tokens(self, record: RunRecord) -> int | None:
-        """Return the tokens that can be proved, or None when the engine must be asked again.
+        """Return the tokens known to be used, or None if the engine must be asked again.
 
-        Of a plain service's open call, or a run on an endpoint that is no
-        longer configured, nothing can be proved, so it is billed at 0.
+        Nothing is known of an open call of a plain service, or of a run on an
+        endpoint that is no longer configured, so these are billed at 0.
         """
         if record.state is RecordState.CLOSED:
             return record.used_tokens
@@ -193,9 +201,10 @@
             return 0
         try:
             run_status = await self._engines.run_status(url, record.run_id)
-            gone = run_status.state is RunState.RUNNING and run_status.reader_gone
-            if gone or run_status.state is RunState.NEVER_SEEN:
-                # A frozen router may still send a run never seen; cancelled, it is refused.
+            unread = run_status.state is RunState.RUNNING and run_status.reader_gone
+            if unread or run_status.state is RunState.NEVER_SEEN:
+                # The fenced router may resume and send a run that the engine has not seen;
+                # cancelling makes the engine reject it.
                 run_status = await self._engines.cancel(url, record.run_id)
         except EndpointError:
             return None
@@ -203,8 +212,8 @@
             return None
         return min(run_status.used_tokens, record.reserved_tokens)
 
-    def _emit(self, kind: str, record: RunRecord, of: str) -> None:
-        """Tell on the time line what the buddies held of a run."""
+    def _emit(self, kind: str, record: RunRecord, incarnation: str) -> None:
+        """Emit an event that shows the recovered record of a run."""
         self._events.emit(
             kind,
             request_id=record.request_id,
@@ -212,7 +221,7 @@
             endpoint=record.endpoint,
             run_id=record.run_id,
             held_as=record.state.name.lower(),
-            of=of,
+            of=incarnation,
         )
 
     def _bill(self, record: RunRecord, incarnation: str, used_tokens: int) -> Bill:
@@ -240,10 +249,10 @@
         return Bill(row, (Put(key, msgspec.to_builtins(claim)),))
 
     async def _write(self, writer: BillWriter, row: RouterRow) -> None:
-        done = await writer.flush()
+        outcome = await writer.flush()
         settled = self._settled[row.incarnation]
-        settled.update(bill.row.run_id for bill, _ in done.duplicates)
-        for bill in done.written:
+        settled.update(bill.row.run_id for bill, _ in outcome.duplicates)
+        for bill in outcome.written:
             settled.add(bill.row.run_id)
             self._events.emit(
                 "recovery.billed",
@@ -254,52 +263,56 @@
                 of=row.incarnation,
             )
         if writer.pending:
-            raise OutcomeUnknownError("bills of a recovery are not settled yet")
+            raise OutcomeUnknownError("the outcome of writing a recovery's bills is unknown")
 
-    async def _close(self, row: RouterRow, own: str, holder_lost: bool) -> RecoveryState:
+    async def _close(
+        self, row: RouterRow, own_incarnation: str, holder_lost: bool
+    ) -> RecoveryState:
         in_doubt = 0
         for grant in await self._table.scan_all(grants_prefix(row.incarnation)):
-            in_doubt += await self._close_grant(grant, row, own, holder_lost)
+            in_doubt += await self._close_grant(grant, row, own_incarnation, holder_lost)
         await self._registry.close_recovery(row.incarnation, in_doubt > 0)
         self._book.forget(row.incarnation)
         self._settled.pop(row.incarnation, None)
         self._events.emit("recovery.closed", of=row.incarnation, in_doubt_tokens=in_doubt)
         return RecoveryState.CLOSED_IN_DOUBT if in_doubt else RecoveryState.CLOSED
 
-    async def _close_grant(self, stored, row: RouterRow, own: str, holder_lost: bool) -> int:
-        grant = msgspec.convert(stored.value, GrantRow)
+    async def _close_grant(
+        self, stored_row, row: RouterRow, own_incarnation: str, holder_lost: bool
+    ) -> int:
+        grant = msgspec.convert(stored_row.value, GrantRow)
         unsettled = grant.granted_tokens - grant.settled_tokens
         in_doubt = unsettled if holder_lost else 0
         key = grant_key(row.incarnation, grant.budget)
         budget = budget_key(grant.budget)
         checks = (
-            VersionIs(key, stored.version),
+            VersionIs(key, stored_row.version),
             FieldIs(router_key(row.incarnation), "state", RouterState.FENCED.value),
-            FieldIs(router_key(row.incarnation), "recoverer", own),
+            FieldIs(router_key(row.incarnation), "recoverer", own_incarnation),
         )
         writes = [
             Add(budget, "ungranted_tokens", unsettled - in_doubt),
             Add(budget, "spent_tokens", grant.settled_tokens),
         ]
         if in_doubt:
-            left = msgspec.structs.replace(
+            remaining_grant = msgspec.structs.replace(
                 grant, granted_tokens=in_doubt, settled_tokens=0, in_doubt_tokens=in_doubt
             )
-            writes.append(Put(key, msgspec.to_builtins(left)))
+            writes.append(Put(key, msgspec.to_builtins(remaining_grant)))
         else:
             writes.append(Delete(key))
         result = await self._table.transact(Transaction(checks, tuple(writes)))
         if not isinstance(result, Committed):
-            raise OutcomeUnknownError(f"grant {key} changed while it was closed")
+            raise OutcomeUnknownError(f"grant {key} changed while it was being closed")
         return in_doubt
 
 
-def _is_off_list(holder: str, listed: set[str] | None) -> bool:
-    return listed is not None and instance_of(holder) not in listed
+def _is_unlisted(holder: str, listed_instances: set[str] | None) -> bool:
+    return listed_instances is not None and instance_of(holder) not in listed_instances
 
 
-def _merge(records: dict[str, RunRecord], more) -> None:
-    for record in more:
-        known = records.get(record.run_id)
-        if known is None or record.state > known.state:
+def _merge(records: dict[str, RunRecord], new_records) -> None:
+    for record in new_records:
+        existing = records.get(record.run_id)
+        if existing is None or record.state > existing.state:
             records[record.run_id] = record
