--- a/turnward/admission/tests/test_rule.py
+++ b/turnward/admission/tests/test_rule.py
@@ -45,7 +45,7 @@
         return self.now_s
 
 
-def test_expected_rest_of_overload_is_half_its_age_up_to_a_limit():
+def test_expected_remaining_overload_is_half_its_age_up_to_a_limit():
     clock = Clock()
     period = OverloadPeriod(clock)
     for _ in range(40):
--- a/turnward/gateway/tests/test_forwarding.py
+++ b/turnward/gateway/tests/test_forwarding.py
@@ -27,7 +27,7 @@
     return msgspec.json.decode(caller.body)["error"]
 
 
-def test_request_and_answer_pass_unchanged():
+def test_request_and_response_are_forwarded_unchanged():
     harness = Harness()
     endpoint = harness.endpoint(answer_ok)
     harness.ready()
--- a/turnward/gateway/tests/test_holder_schedules.py
+++ b/turnward/gateway/tests/test_holder_schedules.py
@@ -221,7 +221,7 @@
     assert is_caught(lambda seed: run_seed(seed, **variant), seeds=2_000)
 
 
-def test_request_waits_for_the_store_when_no_holder_answers():
+def test_request_waits_for_the_store_when_no_holder_responds():
     simulation = HolderSimulation()
     simulation.answer_all_calls(1.0)
     answers = []
--- a/turnward/gateway/tests/test_holders.py
+++ b/turnward/gateway/tests/test_holders.py
@@ -219,7 +219,7 @@
     assert send_prompt(harness, non_holders[0]).status == 200
 
 
-def test_routers_cut_off_from_the_store_borrow_from_holders():
+def test_routers_disconnected_from_the_store_borrow_from_holders():
     harness = large_harness()
     for client in harness.clients:
         client.faults.unavailable = True
--- a/turnward/gateway/tests/test_loans.py
+++ b/turnward/gateway/tests/test_loans.py
@@ -36,7 +36,7 @@
     return served
 
 
-def test_gateway_cut_off_from_the_store_borrows_from_its_peer():
+def test_gateway_disconnected_from_the_store_borrows_from_its_peer():
     harness = loan_harness()
     assert count_served(harness, 0, 4) == 4
     for client in harness.clients:
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -50,7 +50,7 @@
     assert events_on_page() == events_in_code()
 
 
-def test_story_refers_only_to_documented_events():
+def test_request_history_refers_only_to_documented_events():
     assert events_on_page() >= STATE_CHANGE_EVENTS | TOKEN_EVENTS | CONTENT_EVENTS
 
 
@@ -82,7 +82,7 @@
     return found[-1]
 
 
-def test_story_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=1_000)
     logged = LoggingHarness(
         monkeypatch,
@@ -108,7 +108,7 @@
     ("behave", "status", "expected"),
     [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
-def test_story_explains_a_request_answered_502_or_504(
+def test_request_history_explains_a_request_answered_502_or_504(
     monkeypatch, tmp_path, behave, status, expected
 ):
     logged = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
@@ -124,7 +124,9 @@
         find_line(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
-def test_story_explains_a_request_refused_while_the_store_is_unreachable(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_while_the_store_is_unreachable(
+    monkeypatch, tmp_path
+):
     logged = LoggingHarness(monkeypatch, tmp_path)
     logged.harness.endpoint(stream_events(1))
     logged.harness.ready()
--- a/turnward/gateway/tests/test_mechanisms.py
+++ b/turnward/gateway/tests/test_mechanisms.py
@@ -123,7 +123,7 @@
     )
 
 
-def test_without_a_reread_weight_a_busy_preferred_endpoint_is_left_sooner():
+def test_without_a_reread_weight_a_busy_preferred_endpoint_is_avoided_sooner():
     prompt = Prompt(5_000, 9, parse_prompt_parts("a1:4000,own:1000"))
     moved = []
     for weight in (6.0, 1.0):
--- a/turnward/gateway/tests/test_rate_limit.py
+++ b/turnward/gateway/tests/test_rate_limit.py
@@ -228,7 +228,7 @@
     assert router.limits.announced()[0].age_ms == 1_100
 
 
-def test_own_update_that_comes_back_is_ignored():
+def test_own_update_received_from_a_peer_is_ignored():
     router = RouterUnderTest()
     router.limits.name("e", 2.0)
     (own_update,) = router.limits.announced()
--- a/turnward/gateway/tests/test_store_rollback.py
+++ b/turnward/gateway/tests/test_store_rollback.py
@@ -102,7 +102,7 @@
     assert len(north.requests) == requests_before
 
 
-def test_zone_order_lost_for_good_ends_seconds_after_rollback():
+def test_zone_order_lost_permanently_ends_seconds_after_rollback():
     simulation = RollbackSimulation(gateways=3)
     simulation.harness.announce(simulation.endpoints[0], zone="north")
     simulation.run_traffic(6.0)
--- a/turnward/gateway/tests/test_zone_orders.py
+++ b/turnward/gateway/tests/test_zone_orders.py
@@ -113,7 +113,7 @@
     assert not count_served(harness, north)
 
 
-def test_router_cut_off_from_the_store_gets_orders_from_peers():
+def test_router_disconnected_from_the_store_gets_orders_from_peers():
     harness = Harness()
     north, _ = endpoints_in_two_zones(harness)
     harness.ready(gateways=3)
@@ -174,7 +174,7 @@
     assert state.zone_orders.drained == {"north"}
 
 
-def test_order_reissued_in_the_same_answer_stands():
+def test_order_reissued_in_the_same_response_is_active():
     state, _, feed = listener()
     feed.table_read(TableChanges((row("north", 4),), 6))
     feed.rows_changed(TableChanges((row("north", 0, gone=True), row("north", 9)), 9))
@@ -199,7 +199,7 @@
         assert merged.drained == expected
 
 
-def test_standing_orders_are_never_evicted():
+def test_active_orders_are_never_evicted():
     orders = ZoneOrders()
     orders.merge(ZoneOrder(f"old-{number}", number, False) for number in range(200))
     orders.merge(ZoneOrder(f"zone-{number}", 300 + number, True) for number in range(40))
--- a/turnward/quarantine/tests/test_quarantine.py
+++ b/turnward/quarantine/tests/test_quarantine.py
@@ -137,7 +137,7 @@
     assert three.quarantine.quarantine_left_s("c") == pytest.approx(left_s, abs=0.01)
 
 
-def test_response_at_one_router_clears_at_all(clock):
+def test_response_at_one_router_clears_a_content_at_all_routers(clock):
     routers = [Router(clock) for _ in range(3)]
     routers[0].abort_at("a", "b", "d")
     routers[0].announce(*routers[1:])
