--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -69,16 +69,16 @@
 
         monkeypatch.setattr(harness_module, "ListLog", make_log)
 
-    def story(self, request_id):
+    def request_history(self, request_id):
         lines = collect_history(read_lines(self.path), request_id, 1e9)
         assert lines
         return [render_line(line) for line in lines]
 
 
-def find_line(story, *expected):
+def find_line(history, *expected):
     """Return the last line that contains all expected texts."""
-    found = [line for line in story if all(text in line for text in expected)]
-    assert found, story
+    found = [line for line in history if all(text in line for text in expected)]
+    assert found, history
     return found[-1]
 
 
@@ -98,10 +98,10 @@
     headers = harness.prompt(5_000, 10)
     caller = harness.ask(method=b"POST", body=b"", request_id=b"lost-1", headers=headers)
     assert caller.status == 402
-    story = logged.story("lost-1")
-    assert "reason=budget_exhausted" in find_line(story, "request.ended")
-    assert "workspace=acme" in find_line(story, "request.ended")
-    assert "ungranted=" in find_line(story, "prepaid.taken")
+    history = logged.request_history("lost-1")
+    assert "reason=budget_exhausted" in find_line(history, "request.ended")
+    assert "workspace=acme" in find_line(history, "request.ended")
+    assert "ungranted=" in find_line(history, "prepaid.taken")
 
 
 @pytest.mark.parametrize(
@@ -116,12 +116,12 @@
     logged.harness.ready()
     caller = logged.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
     assert caller.status == status
-    story = logged.story("lost-2")
-    assert "endpoint=e-1" in find_line(story, "attempt.chosen")
-    assert f"status={status}" in find_line(story, "request.ended")
+    history = logged.request_history("lost-2")
+    assert "endpoint=e-1" in find_line(history, "attempt.chosen")
+    assert f"status={status}" in find_line(history, "request.ended")
     if expected:
-        find_line(story, "attempt.failed", *expected)
-        find_line(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
+        find_line(history, "attempt.failed", *expected)
+        find_line(history, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
 def test_request_history_explains_a_request_refused_while_the_store_is_unreachable(
@@ -134,9 +134,9 @@
     logged.harness.network.advance(8.0)
     caller = logged.harness.ask(key=b"new-key", request_id=b"lost-3")
     assert caller.status == 503
-    story = logged.story("lost-3")
-    assert "reason=configuration_not_confirmed" in find_line(story, "request.ended")
-    find_line(story, "store.lost", "table=configuration")
+    history = logged.request_history("lost-3")
+    assert "reason=configuration_not_confirmed" in find_line(history, "request.ended")
+    find_line(history, "store.lost", "table=configuration")
 
 
 def test_lost_and_regained_endpoints_and_peers_are_logged():
