--- a/turnward/replay/budgets.py
+++ b/turnward/replay/budgets.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Replays demand on one budget through grants and through the naive schemes."""
+"""Replays demand on one budget with grants and with baseline schemes."""
 
 import random
 from abc import ABC, abstractmethod
@@ -23,8 +23,8 @@
     "replay_budget",
 ]
 
-_BUDGET = "b"
-_TICK_S = 0.2
+_BUDGET_NAME = "b"
+_TICK_INTERVAL_S = 0.2
 
 
 class BudgetScenario(msgspec.Struct, frozen=True, kw_only=True):
@@ -32,12 +32,12 @@
 
     Attributes
     ----------
-    fill : float
-        Limit as a share of all that is asked for; below 1 the budget runs out.
+    limit_ratio : float
+        Ratio of the budget's limit to the total demand; below 1 the budget runs out.
     skew : float
-        Share of the demand that comes to the first router; the rest is even.
+        Share of the demand that the first router receives; the others share the rest evenly.
     shift : bool
-        The first router's share moves to the last one when the outage begins.
+        Whether the first router's share moves to the last router when the outage begins.
     """
 
     routers: int = 4
@@ -53,7 +53,7 @@
 
 
 class BudgetReport(msgspec.Struct, frozen=True):
-    """Outcome: refusals while tokens were left, refusals in truth, and overspend."""
+    """Outcome of a scenario; a refusal is false if the budget had enough tokens left."""
 
     scheme: str
     asked: int
@@ -63,82 +63,82 @@
 
 
 class SchemeBase(ABC):
-    """Decides whether a router may spend."""
+    """Decides whether a router may spend tokens of the budget."""
 
     @abstractmethod
     def spend(self, router: int, tokens: int, now_s: float) -> bool:
-        """Spend tokens at a router, or refuse."""
+        """Spend tokens at a router; return False if the scheme refuses."""
 
     def tick(self, now_s: float) -> None:
-        """Let time pass; most schemes do nothing."""
+        """Run periodic work; does nothing by default."""
         return
 
-    def set_down(self, down: bool) -> None:
-        """Cut the routers off from the store, or mend it; some schemes need none."""
+    def set_store_down(self, down: bool) -> None:
+        """Make the store unreachable or reachable; does nothing by default."""
         return
 
 
 class EvenSplit(SchemeBase):
-    """Naive: each router owns an equal part for good."""
+    """Baseline: each router owns a fixed, equal share of the limit."""
 
     def __init__(self, scenario: BudgetScenario, limit_tokens: int):
-        self._left = [limit_tokens // scenario.routers] * scenario.routers
+        self._remaining_tokens = [limit_tokens // scenario.routers] * scenario.routers
 
     def spend(self, router, tokens, now_s):
         """See ``SchemeBase.spend``."""
-        if self._left[router] < tokens:
+        if self._remaining_tokens[router] < tokens:
             return False
-        self._left[router] -= tokens
+        self._remaining_tokens[router] -= tokens
         return True
 
 
 class SingleCounter(SchemeBase):
-    """Naive: every request asks the store."""
+    """Baseline: every request checks a counter in the store."""
 
     def __init__(self, scenario: BudgetScenario, limit_tokens: int):
-        self._left = limit_tokens
-        self._down = False
+        self._remaining_tokens = limit_tokens
+        self._store_down = False
 
-    def set_down(self, down):
-        """See ``SchemeBase.set_down``."""
-        self._down = down
+    def set_store_down(self, down):
+        """See ``SchemeBase.set_store_down``."""
+        self._store_down = down
 
     def spend(self, router, tokens, now_s):
         """See ``SchemeBase.spend``."""
-        if self._down or self._left < tokens:
+        if self._store_down or self._remaining_tokens < tokens:
             return False
-        self._left -= tokens
+        self._remaining_tokens -= tokens
         return True
 
 
 class _GrantRouter:
-    """One router's ledger and store, as the grant task drives them."""
+    """One router's ledger and grant store, driven as by the router's grant task."""
 
     def __init__(self, table: MemoryTable, name: str, rule: SizingRule):
         self.table = FaultyTable(table)
         self.ledger = GrantLedger(rule)
         self.store = GrantStore(self.table, name, rule.share)
 
-    def take(self, now_s: float) -> None:
-        asks = self.ledger.plan_grants(now_s)
-        if not asks:
+    def acquire_grants(self, now_s: float) -> None:
+        grant_requests = self.ledger.plan_grants(now_s)
+        if not grant_requests:
             return
-        views = run_now(self.store.read_views(list(asks)))
+        views = run_now(self.store.read_views(list(grant_requests)))
         for budget, view in views.items():
             self.ledger.observe(budget, view, now_s)
         for budget, tokens in run_now(
-            self.store.apply(self.store.plan_acquire(asks, views))
+            self.store.apply(self.store.plan_acquire(grant_requests, views))
         ).items():
             self.ledger.add(budget, tokens)
-        self.ledger.clear_wanted(_BUDGET)
+        self.ledger.clear_wanted(_BUDGET_NAME)
 
-    def look_again(self, now_s: float) -> None:
+    def refresh_views(self, now_s: float) -> None:
         budgets = self.ledger.plan_refreshes(now_s)
         if budgets:
             for budget, view in run_now(self.store.read_views(budgets)).items():
                 self.ledger.observe(budget, view, now_s)
 
-    def give_back(self, now_s: float) -> None:
+    def return_surplus(self, now_s: float) -> None:
         for budget, tokens in self.ledger.plan_returns(now_s).items():
             change = self.store.plan_return(budget, tokens)
             if change is not None and run_now(self.store.apply([change])):
@@ -146,23 +146,23 @@
 
 
 class Grants(SchemeBase):
-    """The product's grants, over its own ledger and store."""
+    """Grants, with the router's ledger and grant store."""
 
     def __init__(self, scenario: BudgetScenario, limit_tokens: int):
         table = MemoryTable()
         rule = SizingRule(scenario.horizon_s)
         self._routers = []
-        row = msgspec.to_builtins(BudgetRow(limit_tokens, limit_tokens))
-        table.apply(Transaction((), (Put(budget_key(_BUDGET), row),)))
-        for number in range(scenario.routers):
-            name = f"r{number}"
-            live = RouterRow(name, name, "a", "ost", "", "", RouterState.LIVE)
-            put = Put(router_key(name), msgspec.to_builtins(live))
+        budget_row = msgspec.to_builtins(BudgetRow(limit_tokens, limit_tokens))
+        table.apply(Transaction((), (Put(budget_key(_BUDGET_NAME), budget_row),)))
+        for index in range(scenario.routers):
+            name = f"r{index}"
+            router_row = RouterRow(name, name, "a", "ost", "", "", RouterState.LIVE)
+            put = Put(router_key(name), msgspec.to_builtins(router_row))
             table.apply(Transaction((), (put,)))
             self._routers.append(_GrantRouter(table, name, rule))
 
-    def set_down(self, down):
-        """See ``SchemeBase.set_down``."""
+    def set_store_down(self, down):
+        """See ``SchemeBase.set_store_down``."""
         for router in self._routers:
             router.table.down = down
 
@@ -170,23 +170,23 @@
         """See ``SchemeBase.tick``."""
         for router in self._routers:
             try:
-                router.take(now_s)
-                router.look_again(now_s)
-                router.give_back(now_s)
+                router.acquire_grants(now_s)
+                router.refresh_views(now_s)
+                router.return_surplus(now_s)
             except PlatformUnavailableError:
                 return
 
     def spend(self, router, tokens, now_s):
         """See ``SchemeBase.spend``."""
-        chosen = self._routers[router]
+        grant_router = self._routers[router]
         for first_try in (True, False):
-            match chosen.ledger.reserve(_BUDGET, tokens, now_s, first_try):
+            match grant_router.ledger.reserve(_BUDGET_NAME, tokens, now_s, first_try):
                 case Result(tag="ok", ok=reservation):
-                    chosen.ledger.settle(reservation, tokens)
-                    chosen.store.record_billed_tokens(_BUDGET, 0)
+                    grant_router.ledger.settle(reservation, tokens)
+                    grant_router.store.record_billed_tokens(_BUDGET_NAME, 0)
                     return True
             try:
-                chosen.take(now_s)
+                grant_router.acquire_grants(now_s)
             except PlatformUnavailableError:
                 return False
         return False
@@ -200,32 +200,36 @@
 
 
 def replay_budget(scenario: BudgetScenario, scheme: str) -> BudgetReport:
-    """Play a scenario through a scheme."""
+    """Run a scenario with a scheme of ``BUDGET_SCHEMES``."""
     rng = random.Random(scenario.seed)
-    asked_tokens = scenario.requests * scenario.request_tokens
-    limit_tokens = int(asked_tokens * scenario.limit_ratio)
-    decider = BUDGET_SCHEMES[scheme](scenario, limit_tokens)
-    outage_from_s = scenario.duration_s / 2
-    outage_to_s = outage_from_s + scenario.outage_s
-    spent = false_refusals = true_refusals = 0
+    demand_tokens = scenario.requests * scenario.request_tokens
+    limit_tokens = int(demand_tokens * scenario.limit_ratio)
+    budget_scheme = BUDGET_SCHEMES[scheme](scenario, limit_tokens)
+    outage_start_s = scenario.duration_s / 2
+    outage_end_s = outage_start_s + scenario.outage_s
+    spent_tokens = false_refusals = true_refusals = 0
     next_tick_s = 0.0
-    for number in range(scenario.requests):
-        now_s = scenario.duration_s * number / scenario.requests
-        decider.set_down(outage_from_s <= now_s < outage_to_s)
+    for index in range(scenario.requests):
+        now_s = scenario.duration_s * index / scenario.requests
+        budget_scheme.set_store_down(outage_start_s <= now_s < outage_end_s)
         while next_tick_s <= now_s:
-            decider.tick(next_tick_s)
-            next_tick_s += _TICK_S
-        shifted = scenario.shift and now_s >= outage_from_s
+            budget_scheme.tick(next_tick_s)
+            next_tick_s += _TICK_INTERVAL_S
+        shifted = scenario.shift and now_s >= outage_start_s
         router = _choose_router(rng, scenario, shifted)
         tokens = rng.randint(1, 2 * scenario.request_tokens - 1)
-        if decider.spend(router, tokens, now_s):
-            spent += tokens
-        elif limit_tokens - spent >= tokens:
+        if budget_scheme.spend(router, tokens, now_s):
+            spent_tokens += tokens
+        elif limit_tokens - spent_tokens >= tokens:
             false_refusals += 1
         else:
             true_refusals += 1
     return BudgetReport(
-        scheme, scenario.requests, false_refusals, true_refusals, max(0, spent - limit_tokens)
+        scheme,
+        scenario.requests,
+        false_refusals,
+        true_refusals,
+        max(0, spent_tokens - limit_tokens),
     )
 
 
@@ -233,5 +237,5 @@
     last = scenario.routers - 1
     if rng.random() < scenario.skew:
         return last if shifted else 0
-    others = [number for number in range(scenario.routers) if number != (last if shifted else 0)]
+    others = [index for index in range(scenario.routers) if index != (last if shifted else 0)]
     return rng.choice(others)
