--- a/turnward/replay/__init__.py
+++ b/turnward/replay/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Replay of recorded traces through the router's own decisions."""
+"""Replays traces through the router's routing, admission and budget code."""
 
 from turnward.replay.budgets import (
     BUDGET_SCHEMES,
