--- a/turnward/http1/__init__.py
+++ b/turnward/http1/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""HTTP/1.1 over twisted transports, parsed strictly by llhttp (``httptools``)."""
+"""HTTP/1.1 client and server over Twisted transports, with strict parsing by ``httptools``."""
 
 from turnward.http1.client import HttpCaller, HttpReply
 from turnward.http1.errors import Http1Error, NotSentError, UnansweredError
--- a/turnward/http1/client.py
+++ b/turnward/http1/client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Whole calls over kept connections: a request, a bounded answer, a time limit."""
+"""HTTP calls over persistent connections, with limits on response time and size."""
 
 from collections.abc import Callable
 
@@ -12,20 +12,20 @@
 
 __all__ = ["HttpCaller", "HttpReply"]
 
-#: Largest answer that is read, in bytes.
-_REPLY_LIMIT_BYTES = 64 * 1024 * 1024
-#: Seconds after which an answer is given up that still trickles in: 0.6 MB, the largest table
-#: read so far, in so long a time is a thirtieth of a narrow link (5 Mbit/s).
-_LONGEST_ANSWER_S = 30.0
+#: Maximum size of a response body.
+_RESPONSE_LIMIT_BYTES = 64 * 1024 * 1024
+#: Maximum time after the call's timeout for which a response may continue to arrive.
+_RECEIVE_LIMIT_S = 30.0
 
 
 class HttpReply(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete response.
 
     Attributes
     ----------
     head_received_s : float
-        When its head came, by the reactor's clock; a large body comes seconds later.
+        Time by the reactor's clock when the head was received. A large body may be complete only
+        seconds later.
     """
 
     status: int
@@ -35,13 +35,13 @@
 
 
 class _Call(ExchangeBase):
-    """One call whose answer is gathered."""
+    """An exchange that collects its response."""
 
     def __init__(self, method: bytes, request: bytes, clock: Callable[[], float]):
         self.method = method
         self._request = request
         self._clock = clock
-        self._began_s = 0.0
+        self._head_received_s = 0.0
         self._status = 0
         self._headers: HeaderList = []
         self._chunks: list[bytes] = []
@@ -51,18 +51,18 @@
         self.reply: defer.Deferred = defer.Deferred(lambda _: self.cancel())
 
     def cancel(self) -> None:
-        """Give the call up."""
+        """Abort the call."""
         if self.attempt is not None:
             self.attempt.cancel()
 
     @property
     def sent(self) -> bool:
-        """Whether a byte may have left."""
+        """Whether any byte of the request may have been sent."""
         return self.connection is not None
 
     @property
     def received_bytes(self) -> int:
-        """How much of the answer's body has come."""
+        """Size of the response body received so far."""
         return self._bytes
 
     def exchange_started(self, connection):
@@ -72,25 +72,25 @@
     def head_received(self, status, headers):
         self._status = status
         self._headers = headers
-        self._began_s = self._clock()
+        self._head_received_s = self._clock()
 
     def body_received(self, data):
         self._bytes += len(data)
         self._chunks.append(data)
-        if self._bytes > _REPLY_LIMIT_BYTES:
+        if self._bytes > _RESPONSE_LIMIT_BYTES:
             self.cancel()
-            self._fail(UnansweredError("the answer is too large"))
+            self._fail(UnansweredError("the response body is too large"))
 
     def response_ended(self):
         if not self.reply.called:
             body = b"".join(self._chunks)
-            self.reply.callback(HttpReply(self._status, self._headers, body, self._began_s))
+            self.reply.callback(HttpReply(self._status, self._headers, body, self._head_received_s))
 
     def exchange_failed(self, failure):
         if failure.sent:
-            self._fail(UnansweredError(f"the connection ended: {failure.cause}"))
+            self._fail(UnansweredError(f"no complete response: {failure.cause}"))
         else:
-            self._fail(NotSentError(f"no connection: {failure.cause}"))
+            self._fail(NotSentError(f"could not connect: {failure.cause}"))
 
     def _fail(self, failure) -> None:
         if not self.reply.called:
@@ -98,58 +98,59 @@
 
 
 class _TimeLimit:
-    """Gives a call up when its answer does not begin in time, or stops coming.
+    """Aborts a call whose response does not begin in time or stalls.
 
-    It looks once a limit is over whether bytes came in that time, so what stops is given up after
-    two of them at the latest.
+    Progress is checked once per read timeout, so a stalled response is aborted within two of them.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     call : _Call
-        The call.
+        The call to abort.
     timeout_s : float
-        Longest until the answer, or its first byte where a pause is allowed.
+        Time limit for the complete response, or for the first bytes of its body if there is a read
+        timeout.
     read_timeout_s : float or None
-        Longest pause within an answer; None allows none beyond ``timeout_s``.
+        Time limit for each further part of the body. If None, ``timeout_s`` is the limit for the
+        complete response.
     """
 
     def __init__(self, reactor, call: _Call, timeout_s: float, read_timeout_s: float | None):
         self._reactor = reactor
         self._call = call
-        self._pause_s = read_timeout_s
-        self._seen_bytes = 0
-        self._ends_s = reactor.seconds() + timeout_s + _LONGEST_ANSWER_S
-        self._timer = reactor.callLater(timeout_s, self._look)
+        self._read_timeout_s = read_timeout_s
+        self._checked_bytes = 0
+        self._deadline_s = reactor.seconds() + timeout_s + _RECEIVE_LIMIT_S
+        self._timer = reactor.callLater(timeout_s, self._check)
 
-    def _look(self) -> None:
-        """Wait on where bytes have come since the last look."""
+    def _check(self) -> None:
+        """Continue to wait if bytes were received since the last check."""
         received = self._call.received_bytes
-        comes = self._pause_s is not None and received > self._seen_bytes
-        if comes and self._reactor.seconds() < self._ends_s:
-            self._seen_bytes = received
-            self._timer = self._reactor.callLater(self._pause_s, self._look)
+        receiving = self._read_timeout_s is not None and received > self._checked_bytes
+        if receiving and self._reactor.seconds() < self._deadline_s:
+            self._checked_bytes = received
+            self._timer = self._reactor.callLater(self._read_timeout_s, self._check)
         else:
             self._call.reply.cancel()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Cancel the time limit."""
         if self._timer.active():
             self._timer.cancel()
 
 
 class HttpCaller:
-    """Calls one address.
+    """Sends requests to one address.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     address : tuple of str and int
-        IP number and port.
+        IP address and port.
     connect_timeout_s : float
-        Limit for opening a connection.
+        Time limit for opening a connection.
     """
 
     def __init__(self, reactor, address: tuple[str, int], connect_timeout_s: float = 1.0):
@@ -165,24 +166,23 @@
         timeout_s: float = 2.0,
         read_timeout_s: float | None = None,
     ) -> HttpReply:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete response.
 
         Parameters
         ----------
         timeout_s : float
-            Longest until the whole answer.
+            Time limit for the complete response.
         read_timeout_s : float, optional
-            For answers whose size nothing bounds: ``timeout_s`` then counts until the first bytes,
-            and the answer goes on as long as more come in each such time. Given up by the
-            clock alone, 0.6 MB never arrive over a link of 5 Mbit/s in 1.2 s, however often they
-            are asked for; each try takes its share of the link all the same.
+            Use for large responses, which a fixed time limit would abort on a slow link.
+            ``timeout_s`` then applies until the first bytes of the body, and afterwards more bytes
+            have to arrive within each ``read_timeout_s``, for a limited total time.
 
         Raises
         ------
         NotSentError
-            Nothing was sent.
+            No byte of the request was sent.
         UnansweredError
-            No whole answer came in time; it may have been sent.
+            The request may have been sent, but no complete response was received in time.
         """
         headers = [(b"host", self._host)]
         if body or method in (b"POST", b"PUT"):
@@ -196,12 +196,12 @@
         try:
             return await call.reply
         except defer.CancelledError as failure:
-            kind = UnansweredError if call.sent else NotSentError
-            so_far = f", {call.received_bytes} bytes of it came" if call.received_bytes else ""
-            raise kind(f"no answer within {timeout_s} s{so_far}") from failure
+            error_type = UnansweredError if call.sent else NotSentError
+            progress = f" ({call.received_bytes} bytes received)" if call.received_bytes else ""
+            raise error_type(f"no complete response within {timeout_s} s{progress}") from failure
         finally:
             limit.stop()
 
     def close(self) -> None:
-        """Close kept connections."""
+        """Close idle connections."""
         self._pool.close()
--- a/turnward/http1/errors.py
+++ b/turnward/http1/errors.py
@@ -7,12 +7,12 @@
 
 
 class Http1Error(TurnwardError):
-    """Base class of the errors of this package."""
+    """Base class of errors raised by this package."""
 
 
 class NotSentError(Http1Error):
-    """No connection came about: no byte of the request has left this process."""
+    """No connection could be opened, so no byte of the request was sent."""
 
 
 class UnansweredError(Http1Error):
-    """The request, or a part of it, may have been received; no whole answer came."""
+    """The request may have been sent, in full or in part, but no complete response was received."""
--- a/turnward/http1/framing.py
+++ b/turnward/http1/framing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Headers and heads of HTTP/1.1 messages.
+"""Header fields and head encoding of HTTP/1.1 messages.
 
 References
 ----------
@@ -20,10 +20,10 @@
     "keep_alive_s",
 ]
 
-#: Names in lower case with their values, in the order received.
+#: Lower-case names and their values, in the order received.
 HeaderList = list[tuple[bytes, bytes]]
 
-#: Fields that concern one connection only, besides those that ``Connection`` names.
+#: Connection-specific fields, in addition to those listed in ``Connection``.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -40,11 +40,11 @@
     )
 )
 
-_REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+_REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def header_values(headers: HeaderList, name: bytes) -> list[bytes]:
-    """Return every value of a header.
+    """Return all values of a header.
 
     Examples
     --------
@@ -63,7 +63,7 @@
 
 
 def connection_tokens(headers: HeaderList) -> set[bytes]:
-    """Return the options that ``Connection`` names, in lower case.
+    """Return the options listed in ``Connection``, in lower case.
 
     Examples
     --------
@@ -77,16 +77,16 @@
     return tokens
 
 
-def end_to_end_headers(headers: HeaderList, without=frozenset()) -> HeaderList:
-    """Return the headers that travel on: not those of one connection, nor ``without``."""
-    dropped = connection_tokens(headers) | without
+def end_to_end_headers(headers: HeaderList, excluded=frozenset()) -> HeaderList:
+    """Return the headers to forward: without connection-specific ones and ``excluded``."""
+    dropped = connection_tokens(headers) | excluded
     return [
         (name, value) for name, value in headers if name not in _HOP_BY_HOP and name not in dropped
     ]
 
 
 def keep_alive_s(headers: HeaderList) -> float | None:
-    """Return how long the far side keeps an idle connection, in seconds, if it says so.
+    """Return the idle timeout in seconds announced in ``Keep-Alive``, or None.
 
     Examples
     --------
@@ -102,15 +102,15 @@
 
 
 def encode_request_head(method: bytes, target: bytes, headers: HeaderList) -> bytes:
-    """Return the bytes of a request's head."""
+    """Return the encoded head of a request."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     lines.extend(name + b": " + value for name, value in headers)
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def encode_response_head(status: int, headers: HeaderList) -> bytes:
-    """Return the bytes of a response's head."""
-    reason = _REASONS.get(status, b"Unknown")
+    """Return the encoded head of a response."""
+    reason = _REASON_PHRASES.get(status, b"Unknown")
     lines = [b"HTTP/1.1 %d %s" % (status, reason)]
     lines.extend(name + b": " + value for name, value in headers)
     return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/turnward/http1/tests/__init__.py
+++ b/turnward/http1/tests/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tests of ``turnward.budgets``."""
+"""Tests of ``turnward.http1``."""
