--- a/turnward/http1/outbound.py
+++ b/turnward/http1/outbound.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The client side: kept connections to one address and the exchanges on them.
+"""The client side: persistent connections to one address and the exchanges on them.
 
-An exchange is one request and its answer. What is known when it fails is told
-apart: whether a byte was sent, and whether a byte of an answer came. Answers
-carry back the request's id; one with another id is a late answer to an earlier
-request and is skipped.
+An exchange is one request and its response. A failed exchange reports whether
+any byte of the request was sent and whether any byte of a response was received.
+Responses repeat the request's id. A response with another id is a late response
+to an earlier request and is skipped.
 """
 
 import socket
@@ -34,21 +34,23 @@
     "OutboundPool",
 ]
 
-#: Seconds of silence after which the kernel asks whether the far machine lives, the pause
-#: between two questions, and how many go unanswered.
+#: TCP keepalive: idle time before the first probe, interval, and number of unanswered probes.
 _KEEPALIVE_IDLE_S = 1
-_KEEPALIVE_PAUSE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-#: Milliseconds in which sent bytes must be acknowledged.
+#: Time within which sent bytes must be acknowledged.
 _USER_TIMEOUT_MS = 2_500
-#: Seconds an idle connection is used again when the far side does not say.
-_DEFAULT_KEEP_S = 4.0
-#: Seconds before the far side's own limit at which an idle connection is given up.
-_KEEP_MARGIN_S = 0.6
+#: Maximum idle time of a reusable connection if the peer does not announce one.
+_DEFAULT_REUSE_LIMIT_S = 4.0
+#: An idle connection is closed this long before the idle timeout that the peer announced.
+_REUSE_MARGIN_S = 0.6
 
 
 class FailureCause(StrEnum):
-    """What ended an exchange without a whole answer."""
+    """Why an exchange ended without a complete response.
+
+    ``FOREIGN`` is a response without the request's id.
+    """
 
     CONNECT = "connect"
     CLOSED = "closed"
@@ -58,16 +60,16 @@
 
 
 class ExchangeFailure(msgspec.Struct, frozen=True):
-    """Why an exchange failed, and what is proved.
+    """Why an exchange failed, and how far it got.
 
     Attributes
     ----------
     sent : bool
-        Whether any byte of the request may have left this process.
+        Whether any byte of the request may have been sent.
     answered : bool
-        Whether any byte came back on the connection during the exchange.
+        Whether any byte was received on the connection during the exchange.
     reused : bool
-        Whether the connection had carried an exchange before.
+        Whether the connection was used for an earlier exchange.
     """
 
     cause: FailureCause
@@ -77,7 +79,7 @@
 
 
 class ResponseMatch(StrEnum):
-    """Whose answer a head begins."""
+    """Which request a response belongs to; ``INVALID`` if it has no request id."""
 
     OWN = "own"
     EARLIER = "earlier"
@@ -85,21 +87,21 @@
 
 
 class ExchangeBase(ABC):
-    """One request and whoever takes its answer.
+    """One request and the receiver of its response.
 
     Attributes
     ----------
     response_id : tuple of bytes or None
-        Header name and value that the answer must carry; None accepts any.
+        Header name and value that the response must have; None accepts any.
     method : bytes
-        The request's method: an answer to ``HEAD`` has no body.
+        The request's method. A response to ``HEAD`` has no body.
     """
 
     response_id: tuple[bytes, bytes] | None = None
     method: bytes = b"GET"
 
     def match(self, status: int, headers: HeaderList) -> ResponseMatch:
-        """Tell whose answer a head begins; one with another id is an earlier request's."""
+        """Return which request a response belongs to; another id means an earlier request."""
         if self.response_id is None:
             return ResponseMatch.OWN
         found = header_value(headers, self.response_id[0])
@@ -109,33 +111,33 @@
 
     @abstractmethod
     def exchange_started(self, connection: "OutboundConnection") -> None:
-        """Send the request: the connection is ready."""
+        """Send the request; the connection is ready."""
 
     @abstractmethod
     def head_received(self, status: int, headers: HeaderList) -> None:
-        """Take the answer's head."""
+        """Process the response's head."""
 
     @abstractmethod
     def body_received(self, data: bytes) -> None:
-        """Take a part of the answer's body."""
+        """Process a part of the response's body."""
 
     @abstractmethod
     def response_ended(self) -> None:
-        """Note that the answer is whole."""
+        """Handle the end of a complete response."""
 
     @abstractmethod
     def exchange_failed(self, failure: ExchangeFailure) -> None:
-        """Note that no whole answer will come."""
+        """Handle a failure; no complete response will follow."""
 
     def sending_paused(self) -> None:  # noqa: B027
-        """Stop sending the body: the far side does not take it."""
+        """Stop sending the body; the connection's send buffer is full."""
 
     def sending_resumed(self) -> None:  # noqa: B027
-        """Send the body on."""
+        """Continue to send the body."""
 
 
 class OutboundConnection(Protocol):
-    """A connection to an endpoint; one exchange at a time."""
+    """A connection to an endpoint, used for one exchange at a time."""
 
     noisy = False
 
@@ -146,7 +148,7 @@
         self._headers: HeaderList = []
         self._skipping = False
         self._in_body = False
-        self._until_close = False
+        self._body_until_close = False
         self._complete = False
         self._answered = False
         self._request_complete = False
@@ -156,39 +158,39 @@
         self.sent = False
         self.exchanges = 0
         self.idle_since_s = 0.0
-        self.keep_s = _DEFAULT_KEEP_S
+        self.reuse_limit_s = _DEFAULT_REUSE_LIMIT_S
 
     # twisted
 
     def connectionMade(self):
-        """Start watching the far machine, and the exchange."""
+        """Configure the socket and start the exchange."""
         self.transport.setTcpNoDelay(True)
         handle = self.transport.getHandle()
         handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_PAUSE_S)
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
         self.transport.registerProducer(self, True)
         self._pool.connected(self)
 
     def connectionLost(self, reason):
-        """End the exchange, if any."""
+        """End the current exchange, if any."""
         self._lost = True
         self._usable = False
         self._pool.lost(self)
         if self._exchange is None:
             return
         clean = reason.check(error.ConnectionDone) is not None
-        if clean and self._in_body and self._until_close and not self._skipping:
+        if clean and self._in_body and self._body_until_close and not self._skipping:
             self._end()
             return
         self._fail(FailureCause.CLOSED if clean else FailureCause.RESET)
 
     def dataReceived(self, data):
-        """Parse what came."""
+        """Parse received bytes."""
         if self._exchange is None:
-            # Bytes of no request: nothing on this connection can be trusted any more.
+            # Bytes outside an exchange: the connection is in an unknown state.
             self.drop()
             return
         self._answered = True
@@ -196,7 +198,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as failure:
             if isinstance(failure, httptools.HttpParserCallbackError):
-                self._pool.note_fault(failure.__context__ or failure)
+                self._pool.report_error(failure.__context__ or failure)
             if self._exchange is not None:
                 self._fail(FailureCause.MALFORMED)
             self.drop()
@@ -213,12 +215,12 @@
             self._exchange.sending_paused()
 
     def resumeProducing(self):
-        """Send the body on."""
+        """Continue to send the body."""
         if self._exchange is not None:
             self._exchange.sending_resumed()
 
     def stopProducing(self):
-        """Nothing to do: ``connectionLost`` follows."""
+        """Do nothing; ``connectionLost`` follows."""
 
     # Used by exchanges.
 
@@ -244,19 +246,19 @@
         self.transport.write(data)
 
     def pause(self) -> None:
-        """Hold the endpoint back."""
+        """Stop reading from the endpoint."""
         if not self._paused and not self._lost:
             self._paused = True
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read from the endpoint."""
         if self._paused and not self._lost:
             self._paused = False
             self.transport.resumeProducing()
 
     def drop(self) -> None:
-        """Give the exchange up, if any, and reset the connection."""
+        """Abandon the current exchange, if any, and reset the connection."""
         self._exchange = None
         self._usable = False
         if not self._lost:
@@ -265,18 +267,18 @@
     # httptools
 
     def on_message_begin(self):
-        """Note that an answer begins."""
+        """Prepare for a new response."""
         self._headers = []
         self._in_body = False
         if self._complete:
             self._usable = False
 
     def on_header(self, name, value):
-        """Gather a header."""
+        """Collect a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self):
-        """Give the head to the exchange, unless it is an earlier one's."""
+        """Pass the head to the exchange, unless it belongs to an earlier one."""
         status = self._parser.get_status_code()
         self._pool.note_head(status, self._headers)
         if self._exchange is None or self._complete or 100 <= status < 200:
@@ -287,7 +289,7 @@
             return
         self._skipping = match is ResponseMatch.EARLIER
         self._in_body = True
-        self._until_close = (
+        self._body_until_close = (
             header_value(self._headers, b"content-length") is None
             and header_value(self._headers, b"transfer-encoding") is None
             and status not in (204, 304)
@@ -295,12 +297,16 @@
         if self._skipping:
             self._usable = False
             return
-        if not self._parser.should_keep_alive() or self._until_close:
+        if not self._parser.should_keep_alive() or self._body_until_close:
             self._usable = False
         if b"close" in connection_tokens(self._headers):
             self._usable = False
-        kept_s = keep_alive_s(self._headers)
-        self.keep_s = _DEFAULT_KEEP_S if kept_s is None else max(0.0, kept_s - _KEEP_MARGIN_S)
+        announced_s = keep_alive_s(self._headers)
+        self.reuse_limit_s = (
+            _DEFAULT_REUSE_LIMIT_S
+            if announced_s is None
+            else max(0.0, announced_s - _REUSE_MARGIN_S)
+        )
         exchange = self._exchange
         exchange.head_received(status, self._headers)
         if exchange.method == b"HEAD" and self._exchange is exchange:
@@ -308,12 +314,12 @@
             self._end()
 
     def on_body(self, body):
-        """Give a part of the body to the exchange."""
+        """Pass a part of the body to the exchange."""
         if self._exchange is not None and self._in_body and not self._skipping:
             self._exchange.body_received(body)
 
     def on_message_complete(self):
-        """Note that the answer is whole."""
+        """End the exchange, or the skipping of a late response."""
         if not self._in_body or self._exchange is None:
             return
         self._in_body = False
@@ -321,12 +327,12 @@
             self._skipping = False
             return
         if not self._request_complete:
-            # The answer came before the whole request was sent: what remains of the
-            # body must not reach the endpoint as another request.
+            # The response was complete before the request. The rest of the request's body
+            # must not reach the endpoint as a new request.
             self._usable = False
         self._end()
 
-    # Ends.
+    # Ends of exchanges.
 
     def _end(self) -> None:
         self._complete = True
@@ -335,7 +341,7 @@
         exchange.response_ended()
 
     def _release(self) -> None:
-        """Keep the connection once all bytes that came with the answer are looked at."""
+        """Return the connection to the pool after parsing all bytes received with the response."""
         self._complete = False
         if self._usable and not self._lost:
             self._pool.released(self)
@@ -350,11 +356,11 @@
 
     @property
     def usable(self) -> bool:
-        """Whether another exchange may go on this connection."""
+        """Whether the connection may be used for another exchange."""
         return self._usable and not self._lost
 
 
-class _Connecting(ClientFactory):
+class _ConnectionAttempt(ClientFactory):
     """Opens one connection for one exchange."""
 
     noisy = False
@@ -382,14 +388,14 @@
     reactor
         Twisted's reactor.
     address : tuple of str and int
-        IP number and port.
+        IP address and port.
     connect_timeout_s : float
-        Limit for opening a connection.
-    on_fault : callable, optional
-        Told the exception of an exchange's method that failed.
+        Time limit for opening a connection.
+    on_error : callable, optional
+        Called with an exception raised by a method of an exchange.
     on_head : callable, optional
-        Called with status and headers of each answer that the far side begins, whichever exchange
-        it belongs to: late and foreign ones and those between (1xx) among them.
+        Called with status and headers of each response head that is received, including interim
+        (1xx) and late responses and those without the request's id.
     """
 
     def __init__(
@@ -397,51 +403,51 @@
         reactor,
         address: tuple[str, int],
         connect_timeout_s: float = 1.0,
-        on_fault=None,
+        on_error=None,
         on_head: Callable[[int, HeaderList], None] | None = None,
     ):
         self._reactor = reactor
         self._address = address
-        self._on_fault = on_fault
+        self._on_error = on_error
         self._on_head = on_head
         self._connect_timeout_s = connect_timeout_s
         self._idle: deque[OutboundConnection] = deque()
         self._closed = False
-        self.pending: dict[OutboundConnection, _Connecting] = {}
+        self.pending: dict[OutboundConnection, _ConnectionAttempt] = {}
         self.open_count = 0
 
     @property
     def idle_count(self) -> int:
-        """Connections that wait for an exchange."""
+        """Number of idle connections."""
         return len(self._idle)
 
-    def start(self, exchange: ExchangeBase, max_idle_s: float | None = None) -> "Attempt":
-        """Run an exchange on an idle connection, or open one.
+    def start(self, exchange: ExchangeBase, max_idle_s: float | None = None) -> "ExchangeHandle":
+        """Run an exchange on an idle connection, or open a new one.
 
         Parameters
         ----------
         max_idle_s : float, optional
-            Longest rest after which a connection may be used again, besides
-            what its far side says.
+            Maximum idle time of a connection that is reused, in addition to the peer's
+            announced idle timeout.
         """
         connection = self._take_idle(max_idle_s)
         if connection is not None:
             connection.begin(exchange)
-            return Attempt(connection, None)
-        connecting = _Connecting(self, exchange)
+            return ExchangeHandle(connection, None)
+        connection_attempt = _ConnectionAttempt(self, exchange)
         host, port = self._address
-        connecting.connector = self._reactor.connectTCP(
-            host, port, connecting, timeout=self._connect_timeout_s
+        connection_attempt.connector = self._reactor.connectTCP(
+            host, port, connection_attempt, timeout=self._connect_timeout_s
         )
-        return Attempt(None, connecting)
+        return ExchangeHandle(None, connection_attempt)
 
-    def note_fault(self, failure: Exception) -> None:
-        """Report a fault of an exchange."""
-        if self._on_fault is not None:
-            self._on_fault(failure)
+    def report_error(self, failure: Exception) -> None:
+        """Report an exception raised by an exchange."""
+        if self._on_error is not None:
+            self._on_error(failure)
 
     def note_head(self, status: int, headers: HeaderList) -> None:
-        """Report the head of an answer."""
+        """Report a received response head."""
         if self._on_head is not None:
             self._on_head(status, headers)
 
@@ -452,24 +458,24 @@
             self._idle.popleft().drop()
 
     def trim(self, now_s: float) -> None:
-        """Close connections that rested too long."""
-        keep = deque()
+        """Close connections that have been idle for too long."""
+        kept = deque()
         for connection in self._idle:
-            if now_s - connection.idle_since_s > connection.keep_s:
+            if now_s - connection.idle_since_s > connection.reuse_limit_s:
                 connection.drop()
             else:
-                keep.append(connection)
-        self._idle = keep
+                kept.append(connection)
+        self._idle = kept
 
     def _take_idle(self, max_idle_s: float | None) -> OutboundConnection | None:
         now_s = self._reactor.seconds()
         while self._idle:
             connection = self._idle.pop()
-            rest_s = now_s - connection.idle_since_s
-            if not connection.usable or rest_s > connection.keep_s:
+            idle_s = now_s - connection.idle_since_s
+            if not connection.usable or idle_s > connection.reuse_limit_s:
                 connection.drop()
                 continue
-            if max_idle_s is not None and rest_s > max_idle_s:
+            if max_idle_s is not None and idle_s > max_idle_s:
                 self._idle.append(connection)
                 return None
             return connection
@@ -478,24 +484,24 @@
     # Called by connections.
 
     def connected(self, connection: OutboundConnection) -> None:
-        """Begin the exchange that the connection was opened for."""
+        """Start the exchange that the connection was opened for."""
         self.open_count += 1
-        connecting = self.pending.pop(connection)
-        exchange, connecting.exchange = connecting.exchange, None
+        connection_attempt = self.pending.pop(connection)
+        exchange, connection_attempt.exchange = connection_attempt.exchange, None
         if exchange is None:
             connection.drop()
         else:
-            connecting.connection = connection
+            connection_attempt.connection = connection
             connection.begin(exchange)
 
-    def connect_failed(self, connecting: _Connecting) -> None:
-        """Tell the exchange that nothing was sent."""
-        exchange, connecting.exchange = connecting.exchange, None
+    def connect_failed(self, connection_attempt: _ConnectionAttempt) -> None:
+        """Fail the exchange; nothing was sent."""
+        exchange, connection_attempt.exchange = connection_attempt.exchange, None
         if exchange is not None:
             exchange.exchange_failed(ExchangeFailure(FailureCause.CONNECT, False, False, False))
 
     def released(self, connection: OutboundConnection) -> None:
-        """Keep a connection for the next exchange."""
+        """Add a connection to the idle ones."""
         if self._closed:
             connection.drop()
             return
@@ -503,29 +509,29 @@
         self._idle.append(connection)
 
     def lost(self, connection: OutboundConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.open_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
 
 
-class Attempt:
-    """A handle on an exchange under way, to give it up."""
+class ExchangeHandle:
+    """Cancels an exchange in progress."""
 
-    __slots__ = ("_connecting", "_connection")
+    __slots__ = ("_connection_attempt", "_connection")
 
-    def __init__(self, connection, connecting):
+    def __init__(self, connection, connection_attempt):
         self._connection = connection
-        self._connecting = connecting
+        self._connection_attempt = connection_attempt
 
     def cancel(self) -> None:
-        """End the exchange without a word to it; its connection is reset."""
-        connecting = self._connecting
-        if connecting is None:
+        """Reset the exchange's connection, without calling the exchange's methods."""
+        connection_attempt = self._connection_attempt
+        if connection_attempt is None:
             self._connection.drop()
             return
-        if connecting.exchange is not None:
-            connecting.exchange = None
-            connecting.connector.disconnect()
-        elif getattr(connecting, "connection", None) is not None:
-            connecting.connection.drop()
+        if connection_attempt.exchange is not None:
+            connection_attempt.exchange = None
+            connection_attempt.connector.disconnect()
+        elif getattr(connection_attempt, "connection", None) is not None:
+            connection_attempt.connection.drop()
