--- a/turnward/http1/inbound.py
+++ b/turnward/http1/inbound.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """The server side: connections of callers and the requests on them.
 
-A connection serves one request at a time; requests that arrive early wait
-unparsed. Bodies stream to whoever attaches; a caller that reads slowly pauses
-the answer's source, and one that sends faster than its body is taken is paused
-itself.
+A connection serves one request at a time, and later requests wait. The handler
+attaches to a request to receive its body as a stream. A caller that reads slowly
+pauses the source of the response, and a caller that sends faster than the body
+is processed is paused.
 """
 
 from collections import deque
@@ -22,18 +22,18 @@
 
 __all__ = ["InboundFactory", "InboundLimits", "InboundRequest", "Refusal"]
 
-#: Bytes of a body that wait for a taker before the caller is paused.
+#: Size of body data awaiting ``attach`` at which reading from the caller is paused.
 _BODY_BUFFER_BYTES = 65_536
-#: What a header line takes besides its name and value.
+#: Length of ``": "`` and the line break of a header line.
 _HEADER_OVERHEAD_BYTES = 4
-#: Bytes of further requests that wait on a connection before the caller is paused.
-_AHEAD_BUFFER_BYTES = 65_536
-#: Seconds between two looks at the time limits of all connections.
+#: Size of unparsed later requests at which reading from the caller is paused.
+_UNPARSED_BUFFER_BYTES = 65_536
+#: Interval of checking the time limits of all connections.
 _SWEEP_PERIOD_S = 0.5
 
 
 class InboundLimits(msgspec.Struct):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size of requests and on the time that a caller may take."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -42,14 +42,14 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The answer to what is not a request that may be served."""
+    """The response to a malformed request or one above the limits."""
 
     status: int
     reason: str
 
 
 class InboundRequest:
-    """One request of a caller, and its answer.
+    """One request of a caller and its response.
 
     Attributes
     ----------
@@ -58,17 +58,19 @@
     headers : HeaderList
         As received, names in lower case.
     received_s : float
-        When the head was whole, on the steady clock.
+        When the head was complete, by the monotonic clock.
     body_complete : bool
-        Whether the whole body is in.
+        Whether the complete body was received.
     head_sent, finished, gone : bool
-        How far the answer is; ``gone`` when the caller left before its end.
+        State of the response; ``gone`` if the caller disconnected before its end.
+    closes : bool
+        Whether the connection is closed after the response.
     on_disconnect : callable or None
-        Called once when the caller leaves before the answer's end.
+        Called once if the caller disconnects before the end of the response.
     on_pause, on_resume : callable or None
-        Called when the caller's connection is full, or has room again.
+        Called when the connection's send buffer is full, or has room again.
     on_body : callable or None
-        Takes body bytes; see ``attach``.
+        Receives parts of the body; see ``attach``.
     """
 
     __slots__ = (
@@ -123,7 +125,7 @@
 
     @property
     def declared_length(self) -> int | None:
-        """The body's length as declared; None when it comes in chunks; 0 without a body."""
+        """The declared length of the body; None if it is chunked, 0 if there is no body."""
         length = header_value(self.headers, b"content-length")
         if length is not None:
             return int(length)
@@ -132,7 +134,7 @@
         return 0
 
     def attach(self, on_body, on_body_end) -> None:
-        """Give the body to ``on_body`` as it comes, what has come already first."""
+        """Pass the body to ``on_body`` as it arrives, beginning with what was received before."""
         self.on_body = on_body
         self.on_body_end = on_body_end
         pending, self._pending = self._pending, []
@@ -145,36 +147,36 @@
             self._connection.resume_reading()
 
     def pending_body(self) -> bytes:
-        """Return the body received so far and not taken by ``attach``."""
+        """Return the body received so far, if nothing is attached."""
         return b"".join(self._pending)
 
     def pause_body(self) -> None:
-        """Hold the caller back until ``resume_body``."""
+        """Stop reading the body until ``resume_body``."""
         if not self.body_complete:
             self._connection.pause_reading()
 
     def resume_body(self) -> None:
-        """Let the caller send on."""
+        """Continue to read the body."""
         self._connection.resume_reading()
 
     def start(self, status: int, headers: HeaderList, length: int | None) -> None:
-        """Send the answer's head; without ``length`` the body goes out in chunks."""
-        out = list(headers)
+        """Send the response's head; without ``length`` the body is sent in chunks."""
+        response_headers = list(headers)
         self.closes = self.closes or self._connection.must_close(self)
         if length is not None:
-            out.append((b"content-length", b"%d" % length))
+            response_headers.append((b"content-length", b"%d" % length))
         elif self.version == "1.1":
-            out.append((b"transfer-encoding", b"chunked"))
+            response_headers.append((b"transfer-encoding", b"chunked"))
             self._chunked = True
         else:
             self.closes = True
         if self.closes:
-            out.append((b"connection", b"close"))
+            response_headers.append((b"connection", b"close"))
         self.head_sent = True
-        self._connection.write(self, encode_response_head(status, out))
+        self._connection.write(self, encode_response_head(status, response_headers))
 
     def write(self, data: bytes) -> None:
-        """Send a part of the answer's body."""
+        """Send a part of the response's body."""
         if not data:
             return
         if self._chunked:
@@ -182,37 +184,37 @@
         self._connection.write(self, data)
 
     def finish(self) -> None:
-        """End a complete answer."""
+        """End a complete response."""
         if self.finished or self.gone:
             return
         if self._chunked:
             self._connection.write(self, b"0\r\n\r\n")
         self.finished = True
-        self._drop_callbacks()
+        self._clear_callbacks()
         self._connection.request_finished(self)
 
     def answer(self, status: int, headers: HeaderList, body: bytes = b"") -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.start(status, headers, len(body))
         if self.method != b"HEAD":
             self.write(body)
         self.finish()
 
     def abort(self) -> None:
-        """Cut the connection, so that what was sent can't look complete."""
+        """Reset the connection, so that a partial response can't look complete."""
         if not self.finished:
             self.finished = True
-            self._drop_callbacks()
-            self._connection.cut()
+            self._clear_callbacks()
+            self._connection.reset()
 
-    def _drop_callbacks(self) -> None:
+    def _clear_callbacks(self) -> None:
         self.on_disconnect = self.on_pause = self.on_resume = None
         self.on_body = self.on_body_end = None
 
     # Called by the connection.
 
     def body_received(self, data: bytes, limit_bytes: int) -> bool:
-        """Take body bytes in; False when the body grows over the limit."""
+        """Process a part of the body; return False if the body exceeds the limit."""
         self._body_bytes += len(data)
         if self._body_bytes > limit_bytes:
             return False
@@ -228,16 +230,16 @@
         return True
 
     def body_ended(self) -> None:
-        """Note that the whole body is in."""
+        """Handle the end of the body."""
         self.body_complete = True
         if self.on_body_end is not None:
             self.on_body_end()
 
     def caller_disconnected(self) -> None:
-        """Note that the caller's connection is closed."""
+        """Handle the loss of the caller's connection."""
         self.gone = True
         callback = self.on_disconnect
-        self._drop_callbacks()
+        self._clear_callbacks()
         if callback is not None and not self.finished:
             callback()
 
@@ -245,8 +247,9 @@
 class _InboundConnection(Protocol):
     """One caller's connection.
 
-    ``_current`` is being served. Requests that came in the same packet behind
-    it wait in ``_queued``, parsed; later bytes wait in ``_ahead``, unparsed.
+    ``_current`` is being served. Later requests that were received together with
+    it are parsed and wait in ``_queued``; bytes received afterwards wait in
+    ``_unparsed``.
     """
 
     noisy = False
@@ -260,14 +263,14 @@
         self._parsing: InboundRequest | None = None
         self._current: InboundRequest | None = None
         self._queued: deque[InboundRequest] = deque()
-        self._ahead: list[bytes] = []
-        self._ahead_bytes = 0
-        self._switching = False
+        self._unparsed: list[bytes] = []
+        self._unparsed_bytes = 0
+        self._next_request_scheduled = False
         self._reading_paused = False
         self._closing = False
-        self._broken: Refusal | None = None
+        self._pending_refusal: Refusal | None = None
         self.idle_since_s = factory.clock()
-        self.head_since_s: float | None = None
+        self.head_started_s: float | None = None
 
     # twisted
 
@@ -285,14 +288,16 @@
             current.caller_disconnected()
 
     def dataReceived(self, data):
-        if self._closing or self._broken is not None:
+        if self._closing or self._pending_refusal is not None:
             return
-        if self._switching or (self._current is not None and self._current.body_complete):
-            self._hold_back(data)
+        if self._next_request_scheduled or (
+            self._current is not None and self._current.body_complete
+        ):
+            self._buffer_unparsed(data)
             return
-        self._feed(data)
+        self._parse(data)
 
-    # IPushProducer: the caller's side of flow control.
+    # IPushProducer: flow control of responses.
 
     def pauseProducing(self):
         if self._current is not None and self._current.on_pause is not None:
@@ -303,7 +308,7 @@
             self._current.on_resume()
 
     def stopProducing(self):
-        """Nothing to do: ``connectionLost`` follows."""
+        """Do nothing; ``connectionLost`` follows."""
 
     # httptools
 
@@ -322,7 +327,7 @@
         self._head_bytes += len(name) + len(value) + _HEADER_OVERHEAD_BYTES
 
     def on_headers_complete(self):
-        self.head_since_s = None
+        self.head_started_s = None
         request = InboundRequest(
             self,
             self._parser.get_method(),
@@ -332,7 +337,7 @@
             self._factory.clock(),
         )
         request.closes = not self._parser.should_keep_alive()
-        request.refusal = self._fault_of(request)
+        request.refusal = self._limit_refusal(request)
         self._parsing = request
         if self._current is None:
             self._begin(request)
@@ -344,56 +349,56 @@
         if not request.body_received(body, self._factory.limits.body_bytes):
             request.refusal = request.refusal or Refusal(413, "body_too_large")
             if request is self._current and not request.finished:
-                self._broken = request.refusal
+                self._pending_refusal = request.refusal
 
     def on_message_complete(self):
         request = self._parsing
         request.body_ended()
         if request is self._current and request.finished:
-            self._next_request()
+            self._schedule_next_request()
 
     # Called by requests.
 
     def must_close(self, request) -> bool:
-        """Tell whether the answer is the connection's last."""
+        """Return whether the connection has to be closed after the response."""
         return self._factory.draining
 
     def write(self, request, data) -> None:
-        """Send bytes of the current request's answer."""
+        """Send bytes of the current request's response."""
         if request is self._current and not self._closing:
             self.transport.write(data)
 
     def request_finished(self, request) -> None:
-        """Close, or wait for the next request."""
+        """Close the connection or proceed to the next request."""
         if request is not self._current:
             return
         if request.closes:
             self.close()
         elif request.body_complete:
-            self._next_request()
+            self._schedule_next_request()
         else:
             self.resume_reading()
 
     def pause_reading(self) -> None:
-        """Hold the caller back."""
+        """Stop reading from the caller."""
         if not self._reading_paused and not self._closing:
             self._reading_paused = True
             self.transport.pauseProducing()
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Continue to read from the caller."""
         if self._reading_paused and not self._closing:
             self._reading_paused = False
             self.transport.resumeProducing()
 
     def close(self) -> None:
-        """Close once all that was written is out."""
+        """Close the connection after sending everything written so far."""
         if not self._closing:
             self._closing = True
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         """Reset the connection."""
         self._closing = True
         self.transport.abortConnection()
@@ -402,21 +407,21 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is under way or has begun to arrive."""
-        return self._current is None and self.head_since_s is None and not self._ahead
+        """Whether no request is in progress or partly received."""
+        return self._current is None and self.head_started_s is None and not self._unparsed
 
     def enforce_time_limits(self, now_s: float) -> None:
-        """Close the connection when its caller takes too long."""
+        """Close the connection if it is idle or its request's head incomplete for too long."""
         limits = self._factory.limits
-        if self.head_since_s is not None:
-            if now_s - self.head_since_s > limits.head_timeout_s:
+        if self.head_started_s is not None:
+            if now_s - self.head_started_s > limits.head_timeout_s:
                 self._refuse(Refusal(408, "head_timeout"))
         elif self._current is None and now_s - self.idle_since_s > limits.idle_timeout_s:
             self.close()
 
     # Parsing.
 
-    def _fault_of(self, request: InboundRequest) -> "Refusal | None":
+    def _limit_refusal(self, request: InboundRequest) -> "Refusal | None":
         limits = self._factory.limits
         if self._head_bytes > limits.head_bytes:
             return Refusal(431, "head_too_large")
@@ -428,83 +433,83 @@
     def _begin(self, request: InboundRequest) -> None:
         self._current = request
         if request.refusal is not None:
-            self._broken = request.refusal
+            self._pending_refusal = request.refusal
             return
         if (header_value(request.headers, b"expect") or b"").lower() == b"100-continue":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         try:
             self._factory.handler(request)
         except Exception as failure:
-            # The parser would take a fault of ours for one of the caller's.
-            self._factory.note_fault(failure)
+            # Within the parser, this exception would look like a malformed request.
+            self._factory.report_error(failure)
             if not request.head_sent:
                 request.answer(500, [], b"")
             else:
                 request.abort()
 
-    def _feed(self, data: bytes) -> None:
-        if self._current is None and self.head_since_s is None:
-            self.head_since_s = self._factory.clock()
+    def _parse(self, data: bytes) -> None:
+        if self._current is None and self.head_started_s is None:
+            self.head_started_s = self._factory.clock()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._broken = Refusal(501, "upgrade_not_supported")
+            self._pending_refusal = Refusal(501, "upgrade_not_supported")
         except httptools.HttpParserCallbackError as failure:
-            self._factory.note_fault(failure.__context__ or failure)
-            self._broken = Refusal(500, "internal_fault")
+            self._factory.report_error(failure.__context__ or failure)
+            self._pending_refusal = Refusal(500, "internal_fault")
             if self._current is not None:
-                self._current.refusal = self._broken
+                self._current.refusal = self._pending_refusal
         except httptools.HttpParserError:
-            self._broken = Refusal(400, "malformed_request")
-        if self.head_since_s is not None and self._head_bytes > self._factory.limits.head_bytes:
-            self._broken = Refusal(431, "head_too_large")
-        if self._broken is not None and self._may_refuse_now():
-            self._refuse(self._broken)
+            self._pending_refusal = Refusal(400, "malformed_request")
+        if self.head_started_s is not None and self._head_bytes > self._factory.limits.head_bytes:
+            self._pending_refusal = Refusal(431, "head_too_large")
+        if self._pending_refusal is not None and self._may_refuse_now():
+            self._refuse(self._pending_refusal)
 
     def _may_refuse_now(self) -> bool:
-        """Tell whether the fault is in the request being served, or none is served."""
+        """Return whether no request, or the refused request itself, is being served."""
         current = self._current
         return current is None or not current.body_complete or current.refusal is not None
 
-    def _hold_back(self, data: bytes) -> None:
-        self._ahead.append(data)
-        self._ahead_bytes += len(data)
-        if self._ahead_bytes > _AHEAD_BUFFER_BYTES:
+    def _buffer_unparsed(self, data: bytes) -> None:
+        self._unparsed.append(data)
+        self._unparsed_bytes += len(data)
+        if self._unparsed_bytes > _UNPARSED_BUFFER_BYTES:
             self.pause_reading()
 
-    def _next_request(self) -> None:
+    def _schedule_next_request(self) -> None:
         self._current = None
         self.idle_since_s = self._factory.clock()
-        if not self._switching:
-            self._switching = True
-            self._factory.call_soon(self._switch)
+        if not self._next_request_scheduled:
+            self._next_request_scheduled = True
+            self._factory.call_soon(self._start_next_request)
 
-    def _switch(self) -> None:
-        self._switching = False
+    def _start_next_request(self) -> None:
+        self._next_request_scheduled = False
         if self._closing:
             return
         if self._queued:
             self._begin(self._queued.popleft())
-        elif self._broken is None:
+        elif self._pending_refusal is None:
             self.resume_reading()
-            ahead, self._ahead = b"".join(self._ahead), []
-            self._ahead_bytes = 0
-            if ahead:
-                self._feed(ahead)
+            unparsed, self._unparsed = b"".join(self._unparsed), []
+            self._unparsed_bytes = 0
+            if unparsed:
+                self._parse(unparsed)
             return
-        if self._broken is not None and self._may_refuse_now():
-            self._refuse(self._broken)
+        if self._pending_refusal is not None and self._may_refuse_now():
+            self._refuse(self._pending_refusal)
 
     def _refuse(self, refusal: "Refusal") -> None:
-        """Answer what can't be parsed, where no answer has begun, and close."""
-        self.head_since_s = None
+        """Send a refusal, unless a response has begun, and close the connection."""
+        self.head_started_s = None
         current, self._current = self._current, None
         if current is not None and (current.head_sent or current.finished):
-            self.cut()
+            self.reset()
             return
         if current is not None:
             current.caller_disconnected()
-        self._factory.note_refused(refusal)
+        self._factory.report_refusal(refusal)
         body = b'{"error":"%s"}' % refusal.reason.encode()
         headers = [
             (b"content-type", b"application/json"),
@@ -523,21 +528,21 @@
     reactor
         Twisted's reactor.
     handler : callable
-        Called with each ``InboundRequest`` once its head is whole.
+        Called with each ``InboundRequest`` once its head is complete.
     limits : InboundLimits
         May be replaced at any time.
-    on_fault : callable, optional
-        Told the exception of a handler that failed.
-    on_refused : callable, optional
-        Told the ``Refusal`` of what was refused before it was a request.
+    on_error : callable, optional
+        Called with an exception raised by the handler.
+    on_refusal : callable, optional
+        Called with each ``Refusal`` that is sent.
     """
 
     noisy = False
 
-    def __init__(self, reactor, handler, limits: InboundLimits, on_refused=None, on_fault=None):
+    def __init__(self, reactor, handler, limits: InboundLimits, on_refusal=None, on_error=None):
         self._reactor = reactor
-        self._on_fault = on_fault
-        self._on_refused = on_refused
+        self._on_error = on_error
+        self._on_refusal = on_refusal
         self.handler = handler
         self.limits = limits
         self.connections: set[_InboundConnection] = set()
@@ -559,29 +564,29 @@
         return _InboundConnection(self)
 
     def call_soon(self, function) -> None:
-        """Call a function after the current event is dealt with."""
+        """Call a function after the current event has been processed."""
         self._reactor.callLater(0, function)
 
-    def note_refused(self, refusal: Refusal) -> None:
-        """Report what was refused before it was a request."""
-        if self._on_refused is not None:
-            self._on_refused(refusal)
+    def report_refusal(self, refusal: Refusal) -> None:
+        """Report a refused request."""
+        if self._on_refusal is not None:
+            self._on_refusal(refusal)
 
-    def note_fault(self, failure: Exception) -> None:
-        """Report a fault of the handler."""
-        if self._on_fault is not None:
-            self._on_fault(failure)
+    def report_error(self, failure: Exception) -> None:
+        """Report an exception raised by the handler."""
+        if self._on_error is not None:
+            self._on_error(failure)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close connections without a request in progress."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
 
-    def cut_all(self) -> None:
+    def reset_all(self) -> None:
         """Reset every connection."""
         for connection in list(self.connections):
-            connection.cut()
+            connection.reset()
 
     def _enforce_time_limits(self) -> None:
         now_s = self._reactor.seconds()
