--- a/turnward/http.py
+++ b/turnward/http.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A small asynchronous HTTP client over ``twisted.web``'s agent."""
+"""An asynchronous HTTP client based on ``twisted.web.client.Agent``."""
 
 from io import BytesIO
 
@@ -26,11 +26,10 @@
     "abort_request",
 ]
 
-#: Failures that prove that no byte of the request has left this process.
+#: Errors that are raised only if no byte of the request was sent.
 _NOT_SENT_ERRORS = (
     error.ConnectError,
-    # The request's own limit passed first. Not told as an error of the platform it ended routers
-    # that were starting.
+    # The request's timeout passed before the connection was open.
     error.ConnectingCancelledError,
     error.ConnectionRefusedError,
     error.TimeoutError,
@@ -39,15 +38,15 @@
 
 
 class NotSentError(TurnwardError):
-    """No connection came about: nothing of the request was sent."""
+    """No connection could be opened, so no byte of the request was sent."""
 
 
 class SentUnansweredError(TurnwardError):
-    """The request, or part of it, may have been received; no whole answer came."""
+    """The request may have been sent, in full or in part, but no complete response was received."""
 
 
 class HttpResponse(msgspec.Struct):
-    """A response's head, and its body where it was read whole."""
+    """A response's head, and its body unless that is streamed."""
 
     status: int
     headers: dict[str, str]
@@ -55,12 +54,12 @@
 
 
 def abort_request(request) -> None:
-    """Cut the connection of a ``twisted.web`` server request, answered or not."""
+    """Reset the connection of a ``twisted.web`` server request."""
     request.channel.transport.abortConnection()
 
 
 class _Collector(Protocol):
-    """Passes body bytes on and reports how the body ended."""
+    """Forwards body bytes and reports how the body ended."""
 
     def __init__(self, on_data, finished):
         self._on_data = on_data
@@ -75,22 +74,22 @@
         if reason.check(ResponseDone):
             self._finished.callback(None)
         else:
-            self._finished.errback(SentUnansweredError("the answer was cut short"))
+            self._finished.errback(SentUnansweredError("the response is incomplete"))
 
 
 class HttpClient:
-    """Sends requests with a time limit and tells unsent from unanswered.
+    """Sends requests with a time limit; its errors tell whether a request may have been sent.
 
     Parameters
     ----------
     reactor
         Twisted's reactor.
     connect_timeout_s : float
-        Limit for opening a connection, in seconds.
+        Time limit for opening a connection.
     persistent : bool
-        Keep connections for further requests. A kept connection may be closed
-        by the far side at any time, so requests that must not be sent twice
-        use a fresh one.
+        Reuse connections for further requests. The server may close an idle
+        connection at any time, so requests that must not be sent twice need a
+        new one.
     """
 
     def __init__(self, reactor, connect_timeout_s=1.0, persistent=True):
@@ -101,14 +100,14 @@
         self._agent = Agent(reactor, connectTimeout=connect_timeout_s, pool=self._pool)
 
     async def request(self, method, url, body=b"", headers=None, timeout_s=5.0) -> HttpResponse:
-        """Send a request and read the whole answer.
+        """Send a request and read the complete response.
 
         Raises
         ------
         NotSentError
-            Nothing was sent.
+            No byte of the request was sent.
         SentUnansweredError
-            No whole answer came within ``timeout_s``.
+            No complete response was received within ``timeout_s``.
         """
         chunks: list[bytes] = []
         response = await self.stream(
@@ -120,9 +119,9 @@
     async def stream(
         self, method, url, on_data, on_head=None, body=b"", headers=None, timeout_s=5.0
     ) -> HttpResponse:
-        """Send a request, pass the answer's body to ``on_data`` as it comes.
+        """Send a request and pass the response's body to ``on_data`` as it arrives.
 
-        ``on_head`` is called with the ``HttpResponse`` before the first byte.
+        ``on_head`` is called with the ``HttpResponse`` before the first byte of the body.
         Cancelling the awaiting deferred closes the connection.
         """
         wire_headers = Headers({key: [value] for key, value in (headers or {}).items()})
@@ -133,7 +132,7 @@
         except _NOT_SENT_ERRORS as failure:
             raise NotSentError(f"no connection to {url}: {failure}") from failure
         except (defer.TimeoutError, ResponseNeverReceived, ResponseFailed) as failure:
-            raise SentUnansweredError(f"no answer from {url}") from failure
+            raise SentUnansweredError(f"no response from {url}") from failure
         except error.ConnectionLost as failure:
             raise SentUnansweredError(f"connection to {url} lost") from failure
         head = HttpResponse(
@@ -150,9 +149,9 @@
         try:
             await finished.addTimeout(timeout_s, self._reactor)
         except (defer.TimeoutError, defer.CancelledError) as failure:
-            raise SentUnansweredError(f"no whole answer from {url}") from failure
+            raise SentUnansweredError(f"no complete response from {url}") from failure
         return head
 
     def close(self):
-        """Close kept connections; returns a deferred."""
+        """Close idle connections; return a deferred."""
         return self._pool.closeCachedConnections()
