--- a/turnward/callers/__init__.py
+++ b/turnward/callers/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The face for callers, and a request's way through the router."""
+"""The HTTP interface for callers, and the processing of their requests."""
 
 from turnward.callers.active_request import ActiveRequest
 from turnward.callers.chat import ChatServer, parse_chat
--- a/turnward/callers/active_request.py
+++ b/turnward/callers/active_request.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""One request on its way through the router."""
+"""The state of one request while the router processes it."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class UncertainRun(msgspec.Struct, frozen=True):
-    """An attempt whose answer did not come; it may have run."""
+    """An attempt without a complete response; it may have run."""
 
     view: EndpointView
     run_id: str
@@ -20,20 +20,20 @@
 
 
 class ActiveRequest:
-    """One request on its way.
+    """The state of one request while the router processes it.
 
     Attributes
     ----------
     run_id : str
-        Id of the present attempt at an endpoint.
+        Id of the current attempt at an endpoint.
     record : RunRecord or None
-        The record that buddies hold for the present attempt.
+        Record of the current attempt, replicated to a buddy router or stored in the table.
     uncertain_run : UncertainRun or None
         An earlier attempt that may have run.
     stored_record_key : str
-        Key of the record in the table, where no buddy could hold it.
+        Key of the record in the table, if it was stored there; else empty.
     core : RouterCore
-        The incarnation that reserved the tokens and bills them.
+        State of the router's incarnation that reserved the tokens and bills them.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         "ticket",
         "tried",
         "view",
-        "view_sent_s",
+        "attempt_sent_s",
         "workspace",
     )
 
@@ -76,5 +76,5 @@
         self.uncertain_run: UncertainRun | None = None
         self.started_s = 0.0
         self.admitted_s = 0.0
-        self.view_sent_s = 0.0
+        self.attempt_sent_s = 0.0
         self.tried: set[str] = set()
--- a/turnward/callers/chat.py
+++ b/turnward/callers/chat.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Serves ``/v1/chat/completions``, whole and streamed."""
+"""Serves ``/v1/chat/completions``, with streamed responses or without."""
 
 import msgspec
 from twisted.internet import defer, task
@@ -16,16 +16,16 @@
 
 __all__ = ["ChatRequest", "ChatServer", "parse_chat"]
 
-#: Attempts at endpoints for one request.
+#: Maximum number of attempts at endpoints for one request.
 ATTEMPT_LIMIT = 3
-#: Times a cut stream is resumed.
+#: Maximum number of times an interrupted stream is resumed.
 RESUME_LIMIT = 3
-#: Seconds between questions for a run's account, and how often to ask.
-ACCOUNT_PAUSE_S = 0.5
-ACCOUNT_TRIES = 20
+#: Interval and maximum number of polls for the usage of a run.
+ACCOUNT_POLL_INTERVAL_S = 0.5
+ACCOUNT_POLL_LIMIT = 20
 _OK = 200
 _BAD_REQUEST_FROM = 400
-#: Tokens that the engine's own markup may add to each message.
+#: Maximum number of tokens that the engine's own markup adds to each message.
 MARKUP_TOKENS = 8
 
 
@@ -46,35 +46,35 @@
     stream: bool = False
 
     def output_limit_tokens(self, model: Model) -> int:
-        """Return the most tokens the answer may have."""
-        asked = self.max_completion_tokens or self.max_tokens or model.default_output_tokens
-        return min(asked, model.output_limit_tokens)
+        """Return the maximum number of output tokens."""
+        requested = self.max_completion_tokens or self.max_tokens or model.default_output_tokens
+        return min(requested, model.output_limit_tokens)
 
     def prompt_limit_tokens(self) -> int:
-        """Return an upper bound of the prompt's tokens: one a byte, plus markup."""
+        """Return an upper bound of the prompt's tokens: one for each byte, plus markup."""
         return sum(len(message.content.encode()) + MARKUP_TOKENS for message in self.messages)
 
     def prefix(self) -> str:
-        """Return a digest of the part of the prompt that requests share."""
-        first = self.messages[0].content.encode()
-        return fingerprint(self.model.encode(), first)[:16]
+        """Return a digest of model and first message, which other requests may share."""
+        first_message = self.messages[0].content.encode()
+        return fingerprint(self.model.encode(), first_message)[:16]
 
 
 class _Usage(msgspec.Struct):
     total_tokens: int = 0
 
 
-class _WholeAnswer(msgspec.Struct):
+class _CompletionBody(msgspec.Struct):
     usage: _Usage | None = None
 
 
 def parse_chat(body: bytes) -> ChatRequest:
-    """Check and return the request.
+    """Decode and validate a request.
 
     Raises
     ------
     RefusedError
-        The body is not a chat request.
+        The body is not a valid chat request.
     """
     try:
         request = msgspec.json.decode(body, type=ChatRequest)
@@ -89,23 +89,23 @@
 
 
 class _Relay:
-    """Passes one run's answer on to the caller and reads its usage."""
+    """Forwards the response of one run to the caller and reads its usage."""
 
-    def __init__(self, answer: ResponseWriterBase, stream: bool, headers: dict[str, str]):
-        self._answer = answer
+    def __init__(self, writer: ResponseWriterBase, stream: bool, headers: dict[str, str]):
+        self._writer = writer
         self.stream = stream
         self._headers = headers
         self._body: list[bytes] = []
         self._splitter = EventSplitter()
         self.relayed_events = 0
-        self.whole = False
+        self.complete = False
         self.used_tokens: int | None = None
         self.status = 0
 
     def head(self, response) -> None:
         self.status = response.status
         if self.stream and response.status == _OK:
-            self._answer.head(_OK, {**self._headers, "Content-Type": "text/event-stream"})
+            self._writer.head(_OK, {**self._headers, "Content-Type": "text/event-stream"})
 
     def data(self, data: bytes) -> None:
         if not self.stream or self.status != _OK:
@@ -116,39 +116,39 @@
 
     def _event(self, event) -> None:
         if event.data == END_MARK:
-            self.whole = True
+            self.complete = True
         elif event.usage_tokens is not None:
             self.used_tokens = event.usage_tokens
         else:
             self.relayed_events += 1
-        self._answer.write(event.raw)
+        self._writer.write(event.raw)
 
-    def begin_resumed(self) -> None:
-        """Drop the half event that was cut."""
+    def discard_partial_event(self) -> None:
+        """Discard the partial event at which the stream was interrupted."""
         self._splitter = EventSplitter()
 
     def body(self) -> bytes:
-        """Return the whole answer's body and read its usage."""
+        """Return the body of a complete response and read its usage."""
         body = b"".join(self._body)
         try:
-            usage = msgspec.json.decode(body, type=_WholeAnswer).usage
+            usage = msgspec.json.decode(body, type=_CompletionBody).usage
         except (msgspec.DecodeError, msgspec.ValidationError):
             return body
         if usage is not None:
             self.used_tokens = usage.total_tokens
-            self.whole = True
+            self.complete = True
         return body
 
 
 class ChatServer:
-    """Runs chat requests.
+    """Processes chat requests.
 
     Parameters
     ----------
     context : RouterContext
         The router's shared parts.
-    desk : RequestCoordinator
-        Opens and closes flights.
+    coordinator : RequestCoordinator
+        Reserves tokens, replicates run records and bills.
     """
 
     def __init__(self, context, coordinator: RequestCoordinator):
@@ -156,14 +156,14 @@
         self._coordinator = coordinator
 
     async def serve(
-        self, workspace: Workspace, request_id: str, body: bytes, answer: ResponseWriterBase
+        self, workspace: Workspace, request_id: str, body: bytes, writer: ResponseWriterBase
     ) -> None:
-        """Serve one request to its end.
+        """Process one request.
 
         Raises
         ------
         RefusedError
-            Nothing of an answer was sent yet.
+            The request was refused, and no part of a response was sent.
         """
         self._coordinator.require_serving()
         chat = parse_chat(body)
@@ -171,7 +171,7 @@
         pool = self._pool_of(chat.model)
         if model is None or pool is None:
             raise RefusedError(Refusal(Reason.NOT_FOUND, f"no model {chat.model!r}"))
-        flight = ActiveRequest(
+        active = ActiveRequest(
             workspace,
             request_id,
             fingerprint(body),
@@ -179,15 +179,15 @@
             workspace.priority_class,
             repeatable=True,
         )
-        reply = self._coordinator.cached_response(flight)
-        if reply is not None:
-            self._replay(answer, reply)
+        cached = self._coordinator.cached_response(active)
+        if cached is not None:
+            self._replay(writer, cached)
             return
-        self._coordinator.register(flight)
+        self._coordinator.register(active)
         try:
-            await self._fly(flight, chat, model, body, answer)
+            await self._process(active, chat, model, body, writer)
         finally:
-            self._coordinator.close(flight)
+            self._coordinator.close(active)
 
     def _pool_of(self, model: str) -> str | None:
         for pool in self._context.config.resources.by_kind["pools"].values():
@@ -195,181 +195,183 @@
                 return pool.name
         return None
 
-    def _replay(self, answer: ResponseWriterBase, reply: CachedResponse) -> None:
-        answer.head(reply.status, {**reply.headers, "Idempotency-Replayed": "true"})
-        answer.write(reply.body)
-        answer.finish()
+    def _replay(self, writer: ResponseWriterBase, cached: CachedResponse) -> None:
+        writer.head(cached.status, {**cached.headers, "Idempotency-Replayed": "true"})
+        writer.write(cached.body)
+        writer.finish()
 
-    async def _fly(self, flight: ActiveRequest, chat: ChatRequest, model, body, answer) -> None:
-        await self._coordinator.admit(flight)
+    async def _process(self, active: ActiveRequest, chat: ChatRequest, model, body, writer) -> None:
+        await self._coordinator.admit(active)
         output_tokens = chat.output_limit_tokens(model)
-        await self._coordinator.reserve(flight, chat.prompt_limit_tokens() + output_tokens)
-        sent_body = self._engine_body(flight, body, output_tokens)
+        await self._coordinator.reserve(active, chat.prompt_limit_tokens() + output_tokens)
+        engine_body = self._engine_body(active, body, output_tokens)
         try:
-            await self._attempts(flight, chat, sent_body, answer)
+            await self._run_attempts(active, chat, engine_body, writer)
         except RefusedError as refused:
-            if self._coordinator.restore_uncertain(flight):
-                await self._end_cut(flight, 0, answer, refused.refusal.detail)
+            if self._coordinator.restore_uncertain(active):
+                await self._finish_incomplete(active, 0, writer, refused.refusal.detail)
                 return
-            self._coordinator.discard(flight)
+            self._coordinator.discard(active)
             raise
 
-    def _engine_body(self, flight: ActiveRequest, body: bytes, output_tokens: int) -> bytes:
+    def _engine_body(self, active: ActiveRequest, body: bytes, output_tokens: int) -> bytes:
         fields = msgspec.json.decode(body)
         fields.pop("max_completion_tokens", None)
         fields["max_tokens"] = output_tokens
         classes = self._context.config.resources.by_kind["priority_classes"]
-        fields["priority"] = classes[flight.priority_class].rank
+        fields["priority"] = classes[active.priority_class].rank
         if fields.get("stream"):
             fields["stream_options"] = {"include_usage": True}
         return msgspec.json.encode(fields)
 
-    async def _attempts(
-        self, flight: ActiveRequest, chat: ChatRequest, body: bytes, answer
+    async def _run_attempts(
+        self, active: ActiveRequest, chat: ChatRequest, body: bytes, writer
     ) -> None:
         retry_budget = self._context.retry_budget(
-            flight.workspace.name, flight.workspace.retry_share
+            active.workspace.name, active.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
             last = attempt == ATTEMPT_LIMIT
-            self._coordinator.choose(flight, chat.prefix(), chat.prompt_limit_tokens())
-            await self._coordinator.hold(flight)
-            relay = _Relay(answer, chat.stream, {"X-Request-Id": flight.request_id})
-            self._coordinator.sent(flight)
+            self._coordinator.choose(active, chat.prefix(), chat.prompt_limit_tokens())
+            await self._coordinator.replicate_record(active)
+            relay = _Relay(writer, chat.stream, {"X-Request-Id": active.request_id})
+            self._coordinator.mark_sent(active)
             try:
-                await self._run(flight, body, relay, answer)
+                await self._run(active, body, relay, writer)
             except NotRunError as failure:
-                self._coordinator.returned(flight, ok=False)
+                self._coordinator.mark_finished(active, ok=False)
                 if not last and retry_budget.take():
                     continue
-                raise RefusedError(self._endpoint_refused(failure)) from failure
+                raise RefusedError(self._endpoint_refusal(failure)) from failure
             except RunUncertainError as failure:
-                self._coordinator.returned(flight, ok=False)
-                self._coordinator.note_uncertain(flight)
-                unseen = relay.relayed_events == 0 and not answer.caller_disconnected
-                if unseen and not last and retry_budget.take():
-                    await self._cancel(flight)
+                self._coordinator.mark_finished(active, ok=False)
+                self._coordinator.mark_uncertain(active)
+                retryable = relay.relayed_events == 0 and not writer.caller_disconnected
+                if retryable and not last and retry_budget.take():
+                    await self._cancel(active)
                     continue
-                await self._end_cut(flight, relay.relayed_events, answer, str(failure))
+                await self._finish_incomplete(active, relay.relayed_events, writer, str(failure))
                 return
-            self._coordinator.returned(flight, ok=True)
+            self._coordinator.mark_finished(active, ok=True)
             retry_budget.record_success()
-            await self._end_whole(flight, relay, answer)
+            await self._finish_complete(active, relay, writer)
             return
 
-    def _endpoint_refused(self, failure) -> Refusal:
+    def _endpoint_refusal(self, failure) -> Refusal:
         return Refusal(Reason.ENDPOINT_REFUSED, str(failure), retry_after_s=1)
 
-    async def _run(self, flight: ActiveRequest, body: bytes, relay: _Relay, answer) -> None:
-        """Run once, resuming a cut stream where it broke off."""
-        url = flight.view.endpoint.url
+    async def _run(self, active: ActiveRequest, body: bytes, relay: _Relay, writer) -> None:
+        """Run once, resuming an interrupted stream."""
+        url = active.view.endpoint.url
         call = defer.ensureDeferred(
-            self._context.engines.chat(url, flight.run_id, body, relay.head, relay.data)
+            self._context.engines.chat(url, active.run_id, body, relay.head, relay.data)
         )
-        answer.on_disconnect = call.cancel
+        writer.on_disconnect = call.cancel
         try:
             await call
         except RunUncertainError:
-            if answer.caller_disconnected or relay.relayed_events == 0:
+            if writer.caller_disconnected or relay.relayed_events == 0:
                 raise
-            await self._resume(flight, relay, answer)
+            await self._resume(active, relay, writer)
         except defer.CancelledError as failure:
-            raise RunUncertainError("the caller has gone") from failure
-        if relay.status == _OK and flight.record and relay.stream and not relay.whole:
-            await self._resume(flight, relay, answer)
+            raise RunUncertainError("the caller disconnected") from failure
+        if relay.status == _OK and active.record and relay.stream and not relay.complete:
+            await self._resume(active, relay, writer)
 
-    async def _resume(self, flight: ActiveRequest, relay: _Relay, answer) -> None:
-        url = flight.view.endpoint.url
+    async def _resume(self, active: ActiveRequest, relay: _Relay, writer) -> None:
+        url = active.view.endpoint.url
         for _ in range(RESUME_LIMIT):
-            relay.begin_resumed()
+            relay.discard_partial_event()
             self._context.events.emit(
                 "request.resumed",
-                request_id=flight.request_id,
-                endpoint=flight.view.name,
+                request_id=active.request_id,
+                endpoint=active.view.name,
                 start=relay.relayed_events,
             )
             call = defer.ensureDeferred(
-                self._context.engines.resume(url, flight.run_id, relay.relayed_events, relay.data)
+                self._context.engines.resume(url, active.run_id, relay.relayed_events, relay.data)
             )
-            answer.on_disconnect = call.cancel
+            writer.on_disconnect = call.cancel
             try:
                 await call
             except RunUncertainError:
                 continue
             except defer.CancelledError as failure:
-                raise RunUncertainError("the caller has gone") from failure
-            if relay.whole:
+                raise RunUncertainError("the caller disconnected") from failure
+            if relay.complete:
                 return
-        raise RunUncertainError("the stream ended without its end mark")
+        raise RunUncertainError("the stream ended without its end marker")
 
-    async def _cancel(self, flight: ActiveRequest) -> None:
+    async def _cancel(self, active: ActiveRequest) -> None:
         try:
-            await self._context.engines.cancel(flight.view.endpoint.url, flight.run_id)
+            await self._context.engines.cancel(active.view.endpoint.url, active.run_id)
         except EndpointError:
             self._context.metrics.count("runs.uncancelled")
 
-    async def _end_whole(
-        self, flight: ActiveRequest, relay: _Relay, answer: ResponseWriterBase
+    async def _finish_complete(
+        self, active: ActiveRequest, relay: _Relay, writer: ResponseWriterBase
     ) -> None:
-        """End a whole answer, then settle by its usage or else by the engine's account."""
-        self._send_end(flight, relay, answer)
+        """Finish a complete response, then settle by its usage or else by the engine's report."""
+        self._finish_response(active, relay, writer)
         used_tokens = relay.used_tokens
         if used_tokens is None and relay.status == _OK:
-            used_tokens = await self._account(flight, relay.relayed_events)
-        self._settle(flight, used_tokens or 0)
+            used_tokens = await self._account(active, relay.relayed_events)
+        self._settle(active, used_tokens or 0)
 
-    def _send_end(self, flight: ActiveRequest, relay: _Relay, answer: ResponseWriterBase) -> None:
+    def _finish_response(
+        self, active: ActiveRequest, relay: _Relay, writer: ResponseWriterBase
+    ) -> None:
         body = relay.body() if not relay.stream or relay.status != _OK else b""
         if relay.stream and relay.status == _OK:
-            answer.finish()
+            writer.finish()
             return
         outcome = Outcome.RAN if relay.status < _BAD_REQUEST_FROM else Outcome.NOT_RUN
         headers = {
             "Content-Type": "application/json",
             "X-Outcome": str(outcome),
-            "X-Request-Id": flight.request_id,
+            "X-Request-Id": active.request_id,
         }
         if outcome is Outcome.RAN:
-            reply = CachedResponse(flight.fingerprint, relay.status, headers, body)
-            self._coordinator.cache_response(flight, reply)
-        answer.head(relay.status, headers)
-        answer.write(body)
-        answer.finish()
-
-    async def _end_cut(
-        self, flight: ActiveRequest, relayed_events: int, answer: ResponseWriterBase, cause: str
+            cached = CachedResponse(active.fingerprint, relay.status, headers, body)
+            self._coordinator.cache_response(active, cached)
+        writer.head(relay.status, headers)
+        writer.write(body)
+        writer.finish()
+
+    async def _finish_incomplete(
+        self, active: ActiveRequest, relayed_events: int, writer: ResponseWriterBase, cause: str
     ) -> None:
-        """End an answer that broke off: tell the caller at once, then settle by the account."""
+        """Tell the caller that the response is incomplete, then settle by the engine's report."""
         refusal = Refusal(Reason.ENDPOINT_FAILED, cause, Outcome.UNKNOWN, 1)
         if relayed_events:
-            answer.write(b"event: error\ndata: ")
-            answer.write(problem_body(refusal, flight.request_id) + b"\n\n")
-            answer.abort()
+            writer.write(b"event: error\ndata: ")
+            writer.write(problem_body(refusal, active.request_id) + b"\n\n")
+            writer.abort()
         else:
-            send_refusal(answer, refusal, flight.request_id)
-        self._settle(flight, await self._account(flight, relayed_events))
+            send_refusal(writer, refusal, active.request_id)
+        self._settle(active, await self._account(active, relayed_events))
 
-    def _settle(self, flight: ActiveRequest, used_tokens: int) -> None:
-        """Bill what was used; a run that used nothing leaves the id free for a retry."""
+    def _settle(self, active: ActiveRequest, used_tokens: int) -> None:
+        """Bill the used tokens; discard a run that used none, so that its id may be retried."""
         if used_tokens:
-            self._coordinator.bill(flight, used_tokens)
+            self._coordinator.bill(active, used_tokens)
         else:
-            self._coordinator.discard(flight)
+            self._coordinator.discard(active)
 
-    async def _account(self, flight: ActiveRequest, relayed_events: int) -> int:
-        """Return a run's usage by the engine's account, else what was passed on.
+    async def _account(self, active: ActiveRequest, relayed_events: int) -> int:
+        """Return the usage that the engine reports, or else the number of relayed events.
 
-        A run that goes on with nobody to read it is cancelled.
+        A run that is still running, or that the engine has not seen yet, is cancelled.
         """
-        url = flight.view.endpoint.url
-        for _ in range(ACCOUNT_TRIES):
+        url = active.view.endpoint.url
+        for _ in range(ACCOUNT_POLL_LIMIT):
             try:
-                account = await self._context.engines.account(url, flight.run_id)
+                account = await self._context.engines.account(url, active.run_id)
                 if account.state in (RunState.RUNNING, RunState.NEVER_SEEN):
-                    account = await self._context.engines.cancel(url, flight.run_id)
+                    account = await self._context.engines.cancel(url, active.run_id)
             except EndpointError:
                 account = None
             if account is not None and account.state is not RunState.RUNNING:
                 return account.used_tokens
-            await task.deferLater(self._context.reactor, ACCOUNT_PAUSE_S)
+            await task.deferLater(self._context.reactor, ACCOUNT_POLL_INTERVAL_S)
         return relayed_events
--- a/turnward/callers/http_resource.py
+++ b/turnward/callers/http_resource.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The HTTP face for callers."""
+"""The HTTP interface for callers."""
 
 from twisted.internet import defer
 from twisted.web import resource, server
@@ -16,12 +16,12 @@
 
 __all__ = ["CallerResource", "LimitedSite"]
 
-#: Longest id that callers may choose.
+#: Maximum length of a request id chosen by the caller.
 ID_LIMIT = 128
 
 
 class CallerResource(resource.Resource):
-    """Turns HTTP requests into flights, and refusals into problem details."""
+    """Passes HTTP requests to the servers of chats and services, and reports refusals."""
 
     isLeaf = True
 
@@ -35,7 +35,7 @@
         self._workspaces_revision = -1
 
     def render(self, request):
-        """Answer one request."""
+        """Process one request."""
         if request.path == b"/health":
             serving = self._context.machine.state == "serving"
             request.setResponseCode(200 if serving else 503)
@@ -44,20 +44,22 @@
         return server.NOT_DONE_YET
 
     async def _serve(self, request) -> None:
-        answer = HttpResponseWriter(request)
+        writer = HttpResponseWriter(request)
         request_id = ""
         try:
             request_id = _request_id(request)
             workspace = self._authenticate(request)
-            await self._dispatch(request, workspace, request_id, answer)
+            await self._dispatch(request, workspace, request_id, writer)
         except RefusedError as refused:
-            self._refuse(refused.refusal, request_id, answer)
+            self._refuse(refused.refusal, request_id, writer)
         except Exception:
-            self._log.exception("A request failed.", request_id=request_id)
-            failure = Refusal(Reason.ENDPOINT_FAILED, "internal failure", Outcome.UNKNOWN)
-            send_refusal(answer, failure, request_id)
+            self._log.exception(
+                "Request failed with an unexpected exception.", request_id=request_id
+            )
+            failure = Refusal(Reason.ENDPOINT_FAILED, "internal error", Outcome.UNKNOWN)
+            send_refusal(writer, failure, request_id)
 
-    def _refuse(self, refusal: Refusal, request_id: str, answer: HttpResponseWriter) -> None:
+    def _refuse(self, refusal: Refusal, request_id: str, writer: HttpResponseWriter) -> None:
         self._context.metrics.count(f"answers.{refusal.reason}")
         self._context.events.emit(
             "request.answered",
@@ -65,18 +67,18 @@
             reason=str(refusal.reason),
             outcome=str(refusal.outcome),
         )
-        send_refusal(answer, refusal, request_id)
+        send_refusal(writer, refusal, request_id)
 
-    async def _dispatch(self, request, workspace, request_id: str, answer) -> None:
+    async def _dispatch(self, request, workspace, request_id: str, writer) -> None:
         path = request.path.decode("latin-1")
         body = request.content.read()
         if path == "/v1/chat/completions" and request.method == b"POST":
-            await self._chat.serve(workspace, request_id, body, answer)
+            await self._chat.serve(workspace, request_id, body, writer)
         elif path.startswith("/services/"):
             call = _service_request(request, body)
-            await self._services.serve(workspace, request_id, call, answer)
+            await self._services.serve(workspace, request_id, call, writer)
         else:
-            raise RefusedError(Refusal(Reason.NOT_FOUND, f"no such address: {path}"))
+            raise RefusedError(Refusal(Reason.NOT_FOUND, f"no such path: {path}"))
 
     def _authenticate(self, request) -> Workspace:
         header = request.getHeader("Authorization") or ""
@@ -98,10 +100,10 @@
 
 
 def _request_id(request) -> str:
-    given = request.getHeader("Idempotency-Key")
-    if given is None:
+    header_value = request.getHeader("Idempotency-Key")
+    if header_value is None:
         return new_id()
-    request_id = given.strip().strip('"')
+    request_id = header_value.strip().strip('"')
     if not request_id or len(request_id) > ID_LIMIT or not request_id.isprintable():
         raise RefusedError(
             Refusal(Reason.BAD_REQUEST, f"Idempotency-Key: expected 1 to {ID_LIMIT} characters")
@@ -114,8 +116,8 @@
 
 
 def _service_request(request, body: bytes) -> ServiceRequest:
-    _, _, rest = request.uri.decode("latin-1").partition("/services/")
-    service, _, path = rest.partition("/")
+    _, _, remainder = request.uri.decode("latin-1").partition("/services/")
+    service, _, path = remainder.partition("/")
     return ServiceRequest(
         service,
         request.method.decode("latin-1"),
@@ -126,27 +128,27 @@
 
 
 class _LimitedRequest(server.Request):
-    """Refuses a body above the limit before it is read whole."""
+    """Refuses a body above the limit without reading all of it."""
 
     limit_bytes = 1_000_000
     _received_bytes = 0
 
     def gotLength(self, length):
-        """Take in the announced length."""
+        """Process the declared length of the body."""
         super().gotLength(length)
         if length is not None and length > self.limit_bytes:
-            self._refuse_large()
+            self._refuse_too_large()
 
     def handleContentChunk(self, data):
-        """Take in a part of the body."""
+        """Process a part of the body."""
         self._received_bytes += len(data)
         if self._received_bytes > self.limit_bytes:
-            self._refuse_large()
+            self._refuse_too_large()
             return
         super().handleContentChunk(data)
 
-    def _refuse_large(self) -> None:
-        refusal = Refusal(Reason.TOO_LARGE, f"the body is over {self.limit_bytes} bytes")
+    def _refuse_too_large(self) -> None:
+        refusal = Refusal(Reason.TOO_LARGE, f"the body exceeds {self.limit_bytes} bytes")
         body = problem_body(refusal, "")
         head = (
             f"HTTP/1.1 {refusal.status} Too Large\r\n"
@@ -158,14 +160,14 @@
 
 
 class LimitedSite(server.Site):
-    """A site with limits on connections, bodies and silence.
+    """A site with limits on connections, body sizes and idle times.
 
     Parameters
     ----------
     root : Resource
-        What it serves.
+        The resource to serve.
     settings : RouterSettings
-        Gives the limits.
+        Contains the limits.
     """
 
     def __init__(self, root, settings):
@@ -178,7 +180,7 @@
         self.requestFactory = request_type
 
     def log(self, request):
-        """Write no access log; the time line has it."""
+        """Write no access log; requests are recorded as events."""
 
     def buildProtocol(self, addr):
         """Return the protocol of a new connection, or None above the limit."""
@@ -187,11 +189,11 @@
         channel = super().buildProtocol(addr)
         self._open += 1
         inner: HTTPChannel = channel
-        lost = inner.connectionLost
+        original_connection_lost = inner.connectionLost
 
         def connection_lost(reason):
             self._open -= 1
-            lost(reason)
+            original_connection_lost(reason)
 
         inner.connectionLost = connection_lost
         return channel
--- a/turnward/callers/problems.py
+++ b/turnward/callers/problems.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Refusals and failures as callers see them.
+"""Refused and failed requests as reported to callers.
 
 References
 ----------
@@ -24,7 +24,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request got no usual answer."""
+    """Why a request was refused or failed."""
 
     UNAUTHORIZED = "unauthorized"
     BAD_REQUEST = "bad_request"
@@ -70,12 +70,12 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A final answer that is not the endpoint's.
+    """A final response of the router itself instead of an endpoint's response.
 
     Attributes
     ----------
     retry_after_s : int or None
-        When coming back makes sense; None when it does not.
+        Time after which the caller may retry; None if a retry would not help.
     """
 
     reason: Reason
@@ -90,7 +90,7 @@
 
 
 class RefusedError(TurnwardError):
-    """Carries a refusal up to the HTTP face."""
+    """Carries a refusal to the code that sends the response."""
 
     def __init__(self, refusal: Refusal):
         super().__init__(refusal.detail)
--- a/turnward/callers/response_cache.py
+++ b/turnward/callers/response_cache.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Whole answers, kept for callers who ask again with the same id."""
+"""Cache of complete responses, for requests that are repeated with the same id."""
 
 from collections import OrderedDict
 
@@ -7,14 +7,14 @@
 
 __all__ = ["ResponseCache", "CachedResponse"]
 
-#: Answers kept.
-KEPT_REPLIES = 1_000
-#: Largest answer kept, in bytes.
-KEPT_REPLY_BYTES = 65_536
+#: Maximum number of cached responses.
+CACHED_RESPONSE_LIMIT = 1_000
+#: Maximum size of a cached response's body.
+CACHED_BODY_LIMIT_BYTES = 65_536
 
 
 class CachedResponse(msgspec.Struct, frozen=True):
-    """A whole answer, kept for a repeat of the request."""
+    """A complete response, cached for repetitions of its request."""
 
     fingerprint: str
     status: int
@@ -23,19 +23,19 @@
 
 
 class ResponseCache:
-    """The latest whole answers, by workspace and request id."""
+    """The latest complete responses, by workspace and request id."""
 
     def __init__(self):
-        self._replies: OrderedDict[tuple[str, str], CachedResponse] = OrderedDict()
+        self._responses: OrderedDict[tuple[str, str], CachedResponse] = OrderedDict()
 
     def get(self, workspace: str, request_id: str) -> CachedResponse | None:
-        """Return a kept answer or None."""
-        return self._replies.get((workspace, request_id))
+        """Return a cached response or None."""
+        return self._responses.get((workspace, request_id))
 
-    def keep(self, workspace: str, request_id: str, reply: CachedResponse) -> None:
-        """Keep an answer, unless it is too large; the oldest goes first."""
-        if len(reply.body) > KEPT_REPLY_BYTES:
+    def put(self, workspace: str, request_id: str, response: CachedResponse) -> None:
+        """Add a response, unless it is too large, and evict the oldest ones above the limit."""
+        if len(response.body) > CACHED_BODY_LIMIT_BYTES:
             return
-        self._replies[(workspace, request_id)] = reply
-        while len(self._replies) > KEPT_REPLIES:
-            self._replies.popitem(last=False)
+        self._responses[(workspace, request_id)] = response
+        while len(self._responses) > CACHED_RESPONSE_LIMIT:
+            self._responses.popitem(last=False)
--- a/turnward/callers/services.py
+++ b/turnward/callers/services.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Serves ``/services/NAME/...``: calls of plain services, some of which may not be repeated."""
+"""Serves ``/services/NAME/...``: calls of plain services, some of which must run at most once."""
 
 import msgspec
 
@@ -20,9 +20,9 @@
 
 __all__ = ["ServiceRequest", "ServiceServer"]
 
-#: Methods that may be repeated where the configuration says nothing (RFC 9110, 9.2.2).
+#: Methods that may be repeated unless configured otherwise (RFC 9110, 9.2.2).
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-#: Attempts at endpoints for one call.
+#: Maximum number of attempts at endpoints for one call.
 ATTEMPT_LIMIT = 3
 
 
@@ -37,14 +37,14 @@
 
 
 class ServiceServer:
-    """Runs service calls.
+    """Processes service calls.
 
     Parameters
     ----------
     context : RouterContext
         The router's shared parts.
-    desk : RequestCoordinator
-        Opens and closes flights.
+    coordinator : RequestCoordinator
+        Reserves tokens, replicates run records and bills.
     """
 
     def __init__(self, context, coordinator: RequestCoordinator):
@@ -57,108 +57,110 @@
         workspace: Workspace,
         request_id: str,
         call: ServiceRequest,
-        answer: ResponseWriterBase,
+        writer: ResponseWriterBase,
     ) -> None:
-        """Serve one call to its end.
+        """Process one call.
 
         Raises
         ------
         RefusedError
-            Nothing of an answer was sent yet.
+            The call was refused, and no part of a response was sent.
         """
         self._coordinator.require_serving()
         pool = self._context.config.resources.get("pools", call.service)
         if pool is None or pool.kind != "service":
             raise RefusedError(Refusal(Reason.NOT_FOUND, f"no service {call.service!r}"))
-        repeatable, priority_class = _rule(pool, call, workspace)
+        repeatable, priority_class = _call_rule(pool, call, workspace)
         digest = fingerprint(call.method.encode(), call.path.encode(), call.body)
-        flight = ActiveRequest(workspace, request_id, digest, pool.name, priority_class, repeatable)
+        active = ActiveRequest(workspace, request_id, digest, pool.name, priority_class, repeatable)
         if not repeatable:
-            self._require_young(request_id)
-        self._coordinator.register(flight)
+            self._require_recent(request_id)
+        self._coordinator.register(active)
         try:
-            await self._fly(flight, call, pool, answer)
+            await self._process(active, call, pool, writer)
         finally:
-            self._coordinator.close(flight)
+            self._coordinator.close(active)
 
-    def _require_young(self, request_id: str) -> None:
-        minted = creation_time_s(request_id)
-        oldest_s = self._context.clock.wall_s() - self._context.settings.id_retention_s
-        if minted is not None and minted < oldest_s:
+    def _require_recent(self, request_id: str) -> None:
+        created_s = creation_time_s(request_id)
+        oldest_allowed_s = self._context.clock.wall_s() - self._context.settings.id_retention_s
+        if created_s is not None and created_s < oldest_allowed_s:
             raise RefusedError(
                 Refusal(
                     Reason.ID_TOO_OLD,
-                    "the id is older than claims are kept, so its outcome is not known",
+                    "the id is older than the retention time of claims, so its outcome is unknown",
                     Outcome.UNKNOWN,
                 )
             )
 
-    async def _fly(self, flight: ActiveRequest, call: ServiceRequest, pool: Pool, answer) -> None:
-        await self._coordinator.admit(flight)
-        await self._coordinator.reserve(flight, pool.tokens_per_call)
+    async def _process(
+        self, active: ActiveRequest, call: ServiceRequest, pool: Pool, writer
+    ) -> None:
+        await self._coordinator.admit(active)
+        await self._coordinator.reserve(active, pool.tokens_per_call)
         try:
-            if flight.repeatable:
-                await self._run_repeatable(flight, call, pool, answer)
+            if active.repeatable:
+                await self._run_repeatable(active, call, pool, writer)
             else:
-                await self._run_once(flight, call, pool, answer)
+                await self._run_once(active, call, pool, writer)
         except RefusedError as refused:
-            if self._coordinator.restore_uncertain(flight):
-                self._coordinator.bill(flight, 0)
-                raise RefusedError(_as_unknown(refused.refusal)) from refused
-            if flight.reservation.open:
-                self._coordinator.discard(flight)
+            if self._coordinator.restore_uncertain(active):
+                self._coordinator.bill(active, 0)
+                raise RefusedError(_with_unknown_outcome(refused.refusal)) from refused
+            if active.reservation.open:
+                self._coordinator.discard(active)
             raise
 
-    async def _run_repeatable(self, flight: ActiveRequest, call, pool: Pool, answer) -> None:
+    async def _run_repeatable(self, active: ActiveRequest, call, pool: Pool, writer) -> None:
         retry_budget = self._context.retry_budget(
-            flight.workspace.name, flight.workspace.retry_share
+            active.workspace.name, active.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
-            self._coordinator.choose(flight, "", 0)
-            await self._coordinator.hold(flight)
+            self._coordinator.choose(active, "", 0)
+            await self._coordinator.replicate_record(active)
             try:
-                response = await self._send(flight, call)
+                response = await self._send(active, call)
             except (NotRunError, RunUncertainError) as failure:
                 if isinstance(failure, RunUncertainError):
-                    self._coordinator.note_uncertain(flight)
+                    self._coordinator.mark_uncertain(active)
                 if attempt < ATTEMPT_LIMIT and retry_budget.take():
                     continue
                 refusal = Refusal(Reason.ENDPOINT_FAILED, str(failure), retry_after_s=1)
                 raise RefusedError(refusal) from failure
             retry_budget.record_success()
-            self._coordinator.bill(flight, pool.tokens_per_call)
-            _pass_on(answer, response, flight.request_id)
+            self._coordinator.bill(active, pool.tokens_per_call)
+            _forward_response(writer, response, active.request_id)
             return
 
-    async def _run_once(self, flight: ActiveRequest, call, pool: Pool, answer) -> None:
+    async def _run_once(self, active: ActiveRequest, call, pool: Pool, writer) -> None:
         claim = ClaimRow(
-            flight.request_id,
-            flight.workspace.name,
-            flight.core.incarnation,
+            active.request_id,
+            active.workspace.name,
+            active.core.incarnation,
             new_id(),
-            flight.fingerprint,
+            active.fingerprint,
         )
-        stored = await self._claims.take(flight, claim)
+        stored = await self._claims.take(active, claim)
         if stored is not None:
-            _replay(answer, stored, flight.request_id)
-            self._coordinator.discard(flight)
+            _replay(writer, stored, active.request_id)
+            self._coordinator.discard(active)
             return
         try:
-            await self._send_claimed(flight, call, pool, claim, answer)
+            await self._send_claimed(active, call, pool, claim, writer)
         except RefusedError as refused:
             if refused.refusal.outcome is Outcome.NOT_RUN:
-                self._claims.release(flight, claim)
+                self._claims.release(active, claim)
             raise
 
-    async def _send_claimed(self, flight: ActiveRequest, call, pool: Pool, claim, answer) -> None:
+    async def _send_claimed(self, active: ActiveRequest, call, pool: Pool, claim, writer) -> None:
         retry_budget = self._context.retry_budget(
-            flight.workspace.name, flight.workspace.retry_share
+            active.workspace.name, active.workspace.retry_share
         )
         for attempt in range(1, ATTEMPT_LIMIT + 1):
-            self._coordinator.choose(flight, "", 0)
-            await self._coordinator.hold(flight)
+            self._coordinator.choose(active, "", 0)
+            await self._coordinator.replicate_record(active)
             try:
-                response = await self._send(flight, call)
+                response = await self._send(active, call)
             except NotRunError as failure:
                 if attempt < ATTEMPT_LIMIT and retry_budget.take():
                     continue
@@ -166,66 +168,66 @@
                     Refusal(Reason.ENDPOINT_REFUSED, str(failure), retry_after_s=1)
                 ) from failure
             except RunUncertainError as failure:
-                self._coordinator.bill(flight, 0, outcome_writes(claim, ClaimState.UNKNOWN, None))
+                self._coordinator.bill(active, 0, outcome_writes(claim, ClaimState.UNKNOWN, None))
                 raise RefusedError(
                     Refusal(Reason.OUTCOME_UNKNOWN, str(failure), Outcome.UNKNOWN)
                 ) from failure
             content_type = response.headers.get("content-type", "application/octet-stream")
             stored = StoredAnswer(response.status, content_type, response.body)
             writes = outcome_writes(claim, ClaimState.DONE, stored)
-            self._coordinator.bill(flight, pool.tokens_per_call, writes)
-            _pass_on(answer, response, flight.request_id)
+            self._coordinator.bill(active, pool.tokens_per_call, writes)
+            _forward_response(writer, response, active.request_id)
             return
 
-    async def _send(self, flight: ActiveRequest, call: ServiceRequest):
-        self._coordinator.sent(flight)
-        headers = {"Content-Type": call.content_type, "Idempotency-Key": flight.request_id}
+    async def _send(self, active: ActiveRequest, call: ServiceRequest):
+        self._coordinator.mark_sent(active)
+        headers = {"Content-Type": call.content_type, "Idempotency-Key": active.request_id}
         try:
             response = await self._context.services.call(
-                flight.view.endpoint.url,
-                flight.run_id,
+                active.view.endpoint.url,
+                active.run_id,
                 call.method,
                 call.path,
                 call.body,
                 headers,
             )
         except (NotRunError, RunUncertainError):
-            self._coordinator.returned(flight, ok=False)
+            self._coordinator.mark_finished(active, ok=False)
             raise
-        self._coordinator.returned(flight, ok=True)
+        self._coordinator.mark_finished(active, ok=True)
         return response
 
 
-def _as_unknown(refusal: Refusal) -> Refusal:
-    """Return the refusal of a request of which an earlier attempt may have run."""
+def _with_unknown_outcome(refusal: Refusal) -> Refusal:
+    """Return the refusal of a request, an earlier attempt of which may have run."""
     return msgspec.structs.replace(refusal, outcome=Outcome.UNKNOWN)
 
 
-def _rule(pool: Pool, call: ServiceRequest, workspace: Workspace) -> tuple[bool, str]:
+def _call_rule(pool: Pool, call: ServiceRequest, workspace: Workspace) -> tuple[bool, str]:
     for rule in pool.calls:
         if rule.method == call.method and call.path.startswith(rule.path):
             return rule.repeatable, rule.priority_class or workspace.priority_class
     return call.method in IDEMPOTENT_METHODS, workspace.priority_class
 
 
-def _pass_on(answer: ResponseWriterBase, response, request_id: str) -> None:
+def _forward_response(writer: ResponseWriterBase, response, request_id: str) -> None:
     headers = {
         "Content-Type": response.headers.get("content-type", "application/octet-stream"),
         "X-Outcome": str(Outcome.RAN),
         "X-Request-Id": request_id,
     }
-    answer.head(response.status, headers)
-    answer.write(response.body)
-    answer.finish()
+    writer.head(response.status, headers)
+    writer.write(response.body)
+    writer.finish()
 
 
-def _replay(answer: ResponseWriterBase, stored: StoredAnswer, request_id: str) -> None:
+def _replay(writer: ResponseWriterBase, stored: StoredAnswer, request_id: str) -> None:
     headers = {
         "Content-Type": stored.content_type,
         "X-Outcome": str(Outcome.RAN),
         "X-Request-Id": request_id,
         "Idempotency-Replayed": "true",
     }
-    answer.head(stored.status, headers)
-    answer.write(stored.body)
-    answer.finish()
+    writer.head(stored.status, headers)
+    writer.write(stored.body)
+    writer.finish()
--- a/turnward/callers/sse.py
+++ b/turnward/callers/sse.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into events.
 
 References
 ----------
@@ -10,7 +10,7 @@
 
 __all__ = ["END_MARK", "EventSplitter", "StreamEvent"]
 
-#: Data of the event that ends a whole stream.
+#: Data of the event that ends a complete stream.
 END_MARK = b"[DONE]"
 
 _PREFIX = b"data: "
@@ -18,7 +18,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event as received, its data, and the usage it reports if any."""
+    """One event as received, its data, and the usage that it reports, if any."""
 
     raw: bytes
     data: bytes
@@ -34,7 +34,7 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events.
+    """Collects bytes and returns complete events.
 
     Examples
     --------
@@ -46,12 +46,12 @@
     """
 
     def __init__(self):
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events they complete."""
-        *whole, self._rest = (self._rest + data).split(_SEPARATOR)
-        return [_event(part) for part in whole]
+        """Add received bytes and return the events that they complete."""
+        *complete, self._partial = (self._partial + data).split(_SEPARATOR)
+        return [_event(part) for part in complete]
 
 
 def _event(part: bytes) -> StreamEvent:
--- a/turnward/callers/tests/test_claim_coordinator.py
+++ b/turnward/callers/tests/test_claim_coordinator.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""A call is claimed through a change of its shard's holders, and refused as not run else."""
+"""Tests of taking claims while the holders of a claim's shard change.
+
+The claim is taken once the holders are known, or else refused and released.
+"""
 
 import pytest
 from twisted.internet import defer, task
@@ -13,53 +16,53 @@
 CLAIM = ClaimRow("r-1", "acme", "inc", "token", "print")
 
 
-class Row:
+class ShardRow:
     epoch = 3
 
 
-class Pairs:
-    """Answers holds from a list; ``known`` tells whether a shard's row is known."""
+class FakePairs:
+    """Answers requests to holders from a list; ``known`` is whether the shard's row is known."""
 
-    def __init__(self, answers, known=True):
-        self.answers = answers
+    def __init__(self, outcomes, known=True):
+        self.outcomes = outcomes
         self.known = known
         self.messages = []
 
     def row_of(self, key):
-        return Row() if self.known else None
+        return ShardRow() if self.known else None
 
     def tell(self, message):
         self.messages.append(message)
         if isinstance(message, ClaimAtHolders):
-            message.answer.callback(HoldResult(self.answers.pop(0)))
+            message.answer.callback(HoldResult(self.outcomes.pop(0)))
         elif isinstance(message, RefreshShards):
             self.known = True
 
 
-class Claims:
+class FakeClaims:
     """Answers claims in the table from a list."""
 
-    def __init__(self, answers):
-        self.answers = answers
+    def __init__(self, outcomes):
+        self.outcomes = outcomes
         self.messages = []
 
     def tell(self, message):
         self.messages.append(message)
         if isinstance(message, TakeClaim):
-            message.answer.callback(ClaimResult(self.answers.pop(0)))
+            message.answer.callback(ClaimResult(self.outcomes.pop(0)))
 
 
-class World:
-    """The parts of a router that a claim desk uses."""
+class ClaimHarness:
+    """Takes one claim with the parts of a router that ``ClaimCoordinator`` uses."""
 
-    def __init__(self, holds, table, known=True):
+    def __init__(self, holder_outcomes, table_outcomes, known=True):
         self.reactor = task.Clock()
-        self.pairs = Pairs(holds, known)
+        self.pairs = FakePairs(holder_outcomes, known)
         self.core = self
-        self.claims = Claims(table)
-        self.taken = defer.ensureDeferred(ClaimCoordinator(self).take(self, CLAIM))
+        self.claims = FakeClaims(table_outcomes)
+        self.claim_result = defer.ensureDeferred(ClaimCoordinator(self).take(self, CLAIM))
         self.outcome = []
-        self.taken.addBoth(self.outcome.append)
+        self.claim_result.addBoth(self.outcome.append)
 
     def now_s(self):
         return self.reactor.seconds()
@@ -71,21 +74,25 @@
 
 
 def test_claim_succeeds_after_change_of_shard_holders():
-    world = World([HoldOutcome.STALE, HoldOutcome.STALE, HoldOutcome.HELD], [ClaimOutcome.TAKEN])
-    assert world.outcome == []
-    assert world.run() is None
-    assert world.reactor.seconds() < CLAIM_WAIT_S + 0.1
+    harness = ClaimHarness(
+        [HoldOutcome.STALE, HoldOutcome.STALE, HoldOutcome.HELD], [ClaimOutcome.TAKEN]
+    )
+    assert harness.outcome == []
+    assert harness.run() is None
+    assert harness.reactor.seconds() < CLAIM_WAIT_S + 0.1
 
 
 def test_claim_refreshes_shards_when_the_table_write_is_stale():
-    world = World([HoldOutcome.HELD], [ClaimOutcome.STALE, ClaimOutcome.TAKEN], known=False)
-    assert world.run() is None
+    harness = ClaimHarness(
+        [HoldOutcome.HELD], [ClaimOutcome.STALE, ClaimOutcome.TAKEN], known=False
+    )
+    assert harness.run() is None
 
 
 @pytest.mark.parametrize("outcome", [HoldOutcome.STALE])
 def test_claim_is_refused_and_released_when_holders_stay_unknown(outcome):
-    world = World([outcome] * 20, [])
-    failure = world.run()
+    harness = ClaimHarness([outcome] * 20, [])
+    failure = harness.run()
     assert failure.check(RefusedError)
-    assert any(isinstance(message, ReleaseClaim) for message in world.claims.messages)
-    assert any(isinstance(message, ReleaseAtHolders) for message in world.pairs.messages)
+    assert any(isinstance(message, ReleaseClaim) for message in harness.claims.messages)
+    assert any(isinstance(message, ReleaseAtHolders) for message in harness.pairs.messages)
