--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -7,7 +7,14 @@
 
 import pytest
 
-from turnward.events.story import BELIEFS, CONTENTS, TOKENS, read_lines, render_line, tell_story
+from turnward.events.request_history import (
+    CONTENT_EVENTS,
+    STATE_CHANGE_EVENTS,
+    TOKEN_EVENTS,
+    collect_history,
+    read_lines,
+    render_line,
+)
 from turnward.gateway import RetryPolicy, Workspace
 from turnward.gateway.logs import BoundedLineWriter, GatewayLog
 from turnward.gateway.tests import harness as harness_module
@@ -43,8 +50,8 @@
     assert events_on_page() == events_in_code()
 
 
-def test_story_refers_only_to_documented_events():
-    assert events_on_page() >= BELIEFS | TOKENS | CONTENTS
+def test_request_history_refers_only_to_documented_events():
+    assert events_on_page() >= STATE_CHANGE_EVENTS | TOKEN_EVENTS | CONTENT_EVENTS
 
 
 class LoggingHarness:
@@ -63,7 +70,7 @@
         monkeypatch.setattr(harness_module, "ListLog", make_log)
 
     def story(self, request_id):
-        lines = tell_story(read_lines(self.path), request_id, 1e9)
+        lines = collect_history(read_lines(self.path), request_id, 1e9)
         assert lines
         return [render_line(line) for line in lines]
 
@@ -75,7 +82,7 @@
     return found[-1]
 
 
-def test_story_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=1_000)
     logged = LoggingHarness(
         monkeypatch,
@@ -101,7 +108,7 @@
     ("behave", "status", "expected"),
     [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
-def test_story_explains_a_request_answered_502_or_504(
+def test_request_history_explains_a_request_answered_502_or_504(
     monkeypatch, tmp_path, behave, status, expected
 ):
     logged = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
@@ -117,7 +124,9 @@
         find_line(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
-def test_story_explains_a_request_refused_while_the_store_is_unreachable(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_while_the_store_is_unreachable(
+    monkeypatch, tmp_path
+):
     logged = LoggingHarness(monkeypatch, tmp_path)
     logged.harness.endpoint(stream_events(1))
     logged.harness.ready()
--- a/turnward/operators/__init__.py
+++ b/turnward/operators/__init__.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The face for operators, and the states it shows."""
+"""The HTTP API for operators and the states that it reports."""
 
-from turnward.operators.face import ApplyBody, OperatorsFace
+from turnward.operators.http_resource import ApplyRequest, OperatorResource
 from turnward.operators.states import RouterStatus, StateReader
 
-__all__ = ["ApplyBody", "OperatorsFace", "RouterStatus", "StateReader"]
+__all__ = ["ApplyRequest", "OperatorResource", "RouterStatus", "StateReader"]
