--- a/turnward/http1/outbound.py
+++ b/turnward/http1/outbound.py
@@ -207,7 +207,7 @@
         elif self._exchange is None:
             self.drop()
 
-    # IPushProducer: the endpoint's side of flow control for request bodies.
+    # IPushProducer: flow control of request bodies.
 
     def pauseProducing(self):
         """Stop sending the body."""
