--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Programs of the repository: demo, benchmarks, generated pages."""
+"""Development tools: demo, benchmarks, documentation generators and checks."""
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Figures of the decisions under load, written to docs/measurements as tables and plots.
+"""Benchmarks routing and budget decisions, and writes tables and plots to docs/measurements.
 
-Replays are exact: the same commit gives the same figures. The cost of a decision
-is timed, so it is given as a median and a ratio to the naive choice.
+Replays are deterministic: the same commit gives the same results. The cost of a
+decision is timed, so it is reported as a median and as a ratio to the
+least-in-flight policy.
 """
 
 import sys
@@ -27,18 +28,18 @@
 
 __all__ = ["main"]
 
-FOLDER = Path("docs/measurements")
+OUTPUT_FOLDER = Path("docs/measurements")
 LOADS = (0.5, 0.8, 0.95, 1.2)
 OUTAGES_S = (0, 10, 30, 60, 150)
 HORIZONS_S = (5, 20, 60, 120, 300)
 FILLS = (2.0, 1.05, 0.9)
 SKEWS = ((0.25, False), (0.7, False), (0.7, True))
 REPEATS = 15
-DECISIONS = 200
+RESERVATIONS_PER_REPEAT = 200
 
 
 def routing_page() -> str:
-    """Waits, refusals and prefix hits of each policy at each load."""
+    """Return the page with waits, refusals and prefix hits of each policy at each load."""
     rows = []
     for name, generate in GENERATORS.items():
         for load in LOADS:
@@ -68,8 +69,8 @@
         policy,
         f"{report.first_token_mean_s:.3f}",
         f"{report.prefix_hit_share:.2f}",
-        _waits(urgent),
-        _waits(other),
+        _wait_percentiles(urgent),
+        _wait_percentiles(other),
         str(urgent.refused + other.refused),
     ]
 
@@ -81,7 +82,7 @@
     return urgent, other
 
 
-def _waits(entry) -> str:
+def _wait_percentiles(entry) -> str:
     return f"{entry.wait_p50_s:.3f}/{entry.wait_p95_s:.2f}/{entry.wait_p99_s:.2f}"
 
 
@@ -110,7 +111,7 @@
                     case,
                     policy,
                     f"{report.first_token_mean_s:.3f}",
-                    _waits(urgent),
+                    _wait_percentiles(urgent),
                     str(urgent.refused + other.refused),
                     f"{report.attempts / len(trace.requests):.2f}",
                     f"{report.last_new_work_s:.2f}",
@@ -127,7 +128,7 @@
 
 
 def budget_page() -> str:
-    """False refusals and overspend of each scheme."""
+    """Return the page with false refusals and overspend of each budget scheme."""
     rows = []
     for fill in FILLS:
         for skew, shift in SKEWS:
@@ -185,17 +186,24 @@
     axes.set_ylabel("false refusals of 4,000")
     axes.legend(title="horizon")
     figure.tight_layout()
-    figure.savefig(FOLDER / "horizon.png", dpi=80, metadata={"Software": None})
+    figure.savefig(OUTPUT_FOLDER / "horizon.png", dpi=80, metadata={"Software": None})
 
 
 def cost_page() -> str:
-    """Microseconds a decision, and its slope over endpoints and budgets."""
+    """Return the page with the cost of a decision by number of endpoints and of budgets."""
     rows = []
     for count in (10, 100, 1_000):
         views = [_view(number) for number in range(count)]
-        naive_us = _choice_us("least_in_flight", views)
-        ours_us = _choice_us("score", views)
-        rows.append([str(count), f"{ours_us:.0f}", f"{naive_us:.0f}", f"{ours_us / naive_us:.1f}"])
+        least_in_flight_us = _choice_us("least_in_flight", views)
+        score_us = _choice_us("score", views)
+        rows.append(
+            [
+                str(count),
+                f"{score_us:.0f}",
+                f"{least_in_flight_us:.0f}",
+                f"{score_us / least_in_flight_us:.1f}",
+            ]
+        )
     budget_rows = []
     for count in (1_000, 10_000, 230_000):
         reserve_us, plan_ms = _ledger_costs(count)
@@ -254,20 +262,20 @@
         ledger.plan_refreshes(1.0)
         ledger.plan_returns(1.0)
 
-    return _median_us(reserve, DECISIONS), _median_us(plan, 1) / 1_000
+    return _median_us(reserve, RESERVATIONS_PER_REPEAT), _median_us(plan, 1) / 1_000
 
 
 def main() -> int:
-    """Write every page."""
-    FOLDER.mkdir(parents=True, exist_ok=True)
+    """Write every page and the replay reports."""
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     for name, make in (("routing", routing_page), ("budgets", budget_page), ("cost", cost_page)):
-        (FOLDER / f"{name}.md").write_text(make() + "\n")
-        print(f"bench: wrote {FOLDER / name}.md", flush=True)
+        (OUTPUT_FOLDER / f"{name}.md").write_text(make() + "\n")
+        print(f"bench: wrote {OUTPUT_FOLDER / name}.md", flush=True)
     reports = {
         name: msgspec.to_builtins(replay(generate(), "score", POLICIES["score"]))
         for name, generate in GENERATORS.items()
     }
-    (FOLDER / "stated-outcomes.json").write_bytes(
+    (OUTPUT_FOLDER / "stated-outcomes.json").write_bytes(
         msgspec.json.format(msgspec.json.encode(reports), indent=2) + b"\n"
     )
     return 0
