--- a/tools/demo.py
+++ b/tools/demo.py
@@ -27,49 +27,51 @@
 SMALL_BUDGET_CHATS = 60
 WORKERS = 24
 KILL_AFTER_S = 1.0
-TRIES = 40
+MAX_ATTEMPTS = 40
 
 
 class Caller:
-    """Sends requests as a caller would: the same id again, at another router."""
+    """Sends requests as a caller would: retries at the next router with the same request id."""
 
     def __init__(self, fleet: LocalFleet):
         self._urls = [router.callers_url for router in fleet.routers]
-        self._turn = itertools.count()
+        self._next_router = itertools.count()
 
     def send(self, workspace: str, path: str, body: bytes, request_id: str):
-        """Send until a final answer; return outcome, reason and body."""
+        """Send until a final response; return outcome, reason and body."""
         headers = {
             "Authorization": f"Bearer {workspace}-key",
             "Idempotency-Key": request_id,
             "Content-Type": "application/json",
         }
-        for _ in range(TRIES):
-            url = self._urls[next(self._turn) % len(self._urls)]
+        for _ in range(MAX_ATTEMPTS):
+            url = self._urls[next(self._next_router) % len(self._urls)]
             try:
-                status, answer_headers, answer = http_call("POST", url + path, body, headers)
+                status, response_headers, response_body = http_call(
+                    "POST", url + path, body, headers
+                )
             except (OSError, http.client.HTTPException):
                 time.sleep(0.05)
                 continue
-            if status == 200 and _is_whole(answer_headers, answer):
-                return "ran", "", answer
+            if status == 200 and _is_complete(response_headers, response_body):
+                return "ran", "", response_body
             if status == 200:
                 continue
-            problem = msgspec.json.decode(answer)
+            problem = msgspec.json.decode(response_body)
             if "retry_after_s" not in problem:
-                return problem["outcome"], problem["reason"], answer
+                return problem["outcome"], problem["reason"], response_body
             time.sleep(min(0.3, problem["retry_after_s"]))
         return "unanswered", "", b""
 
 
-def _is_whole(headers, answer: bytes) -> bool:
+def _is_complete(headers, response_body: bytes) -> bool:
     if headers.get("Content-Type") == "text/event-stream":
-        return answer.endswith(b"data: [DONE]\n\n")
-    return bool(answer)
+        return response_body.endswith(b"data: [DONE]\n\n")
+    return bool(response_body)
 
 
 class Audit:
-    """Compares bills in the table with what endpoints ran."""
+    """Compares the bills in the platform's table with the endpoints' own counts."""
 
     def __init__(self, fleet: LocalFleet, engine_ports: list[int], service_port: int):
         self._fleet = fleet
@@ -81,7 +83,7 @@
         return [row["value"] for row in self._fleet.scan("bill/")]
 
     def engine_runs(self) -> dict[str, int]:
-        """Return tokens by run id, as the engines count them."""
+        """Return the tokens of each run id, as counted by the engines."""
         runs = {}
         for port in self._engine_ports:
             counts = http_call("GET", f"http://127.0.0.1:{port}/counts")[2]
@@ -89,12 +91,12 @@
         return runs
 
     def service_calls(self) -> Counter:
-        """Return how often each request id was run, as the service counts."""
+        """Return the number of runs of each request id, as counted by the service."""
         calls = http_call("GET", f"http://127.0.0.1:{self._service_port}/calls")[2]
         return Counter(call["request_id"] for call in msgspec.json.decode(calls))
 
     def overspent_tokens(self) -> int:
-        """Return what was billed past the limits."""
+        """Return the tokens billed beyond the budgets' limits."""
         limits = {
             row["key"].removeprefix("budget/"): row["value"]["limit_tokens"]
             for row in self._fleet.scan("budget/")
@@ -105,13 +107,13 @@
         return sum(max(0, spent[budget] - limit) for budget, limit in limits.items())
 
     def doubled(self) -> int:
-        """Return requests run twice though not repeatable, or billed twice."""
+        """Return the number of ids that services ran, plus those billed, more than once."""
         bills = Counter(bill["request_id"].partition("~")[0] for bill in self.bills())
         runs = self.service_calls()
         return sum(1 for count in [*runs.values(), *bills.values()] if count > 1)
 
     def lost(self, answered: set[str]) -> int:
-        """Return answered or run requests without a right bill."""
+        """Return the number of answered or run requests with no bill or a wrong one."""
         bills = {bill["request_id"]: bill for bill in self.bills()}
         runs = self.engine_runs()
         unbilled = (answered | set(self.service_calls())) - set(bills)
@@ -123,8 +125,8 @@
         return len(unbilled) + len(wrong)
 
 
-def _requests():
-    """Return (workspace, path, body) of the mixed load."""
+def _mixed_requests():
+    """Return workspace, path and body of each request of the mixed load."""
     chat_path = "/v1/chat/completions"
     load = []
     for number in range(CHATS):
@@ -150,12 +152,12 @@
 
 
 def hash_order(body: bytes) -> str:
-    """Return a key that mixes the load in the same order every time."""
+    """Return a sort key that shuffles the load deterministically."""
     return uuid.uuid5(uuid.NAMESPACE_OID, body.decode()).hex
 
 
 def _run_small_budget(caller: Caller) -> Counter:
-    """Ask more of one budget than it has; return outcomes."""
+    """Send requests that together exceed one budget; return the count of each outcome."""
     outcomes: Counter = Counter()
     body = {
         "model": "summary",
@@ -180,7 +182,7 @@
     outcomes = {}
     with ThreadPoolExecutor(WORKERS) as pool:
         futures = {}
-        for workspace, path, body in _requests():
+        for workspace, path, body in _mixed_requests():
             request_id = str(uuid6.uuid7())
             future = pool.submit(caller.send, workspace, path, body, request_id)
             futures[future] = request_id
@@ -227,8 +229,8 @@
         if arguments.kill:
             threading.Timer(KILL_AFTER_S, fleet.kill, [fleet.routers[2]]).start()
         outcomes = _run_mixed(caller)
-        small = _run_small_budget(caller)
-        print(f"demo: small budget: {dict(sorted(small.items()))}")
+        small_outcomes = _run_small_budget(caller)
+        print(f"demo: small budget: {dict(sorted(small_outcomes.items()))}")
         status = _report(fleet, audit, outcomes)
         if arguments.keep:
             events = fleet.operator(fleet.routers[0], "GET", "/events")[1]
@@ -249,15 +251,15 @@
     except TimeoutError:
         print(f"demo: bills are not settled; logs in {fleet.folder}", file=sys.stderr)
     billed = {bill["request_id"] for bill in audit.bills()} & set(outcomes)
-    counted = Counter(outcomes.values())
+    outcome_counts = Counter(outcomes.values())
     overspent, doubled, lost = audit.overspent_tokens(), audit.doubled(), audit.lost(answered)
-    print(f"demo: outcomes: {dict(sorted(counted.items()))}")
+    print(f"demo: outcomes: {dict(sorted(outcome_counts.items()))}")
     print(
         f"demo: requests={len(outcomes)} answered={len(answered)} billed={len(billed)} "
         f"overspent_tokens={overspent} doubled={doubled} lost={lost}"
     )
-    agree = len(outcomes) == len(answered) == len(billed)
-    return 0 if agree and not (overspent or doubled or lost) else 1
+    counts_agree = len(outcomes) == len(answered) == len(billed)
+    return 0 if counts_agree and not (overspent or doubled or lost) else 1
 
 
 if __name__ == "__main__":
