--- a/tools/http_round.py
+++ b/tools/http_round.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Weighs HTTP parsers: cost of a request and of an event, and what they refuse."""
+"""Compares HTTP parsers: CPU time per request and per event, and malformed input they reject."""
 
 import statistics
 import time
@@ -12,16 +12,16 @@
 __all__ = ["main"]
 
 REPEATS = 7
-COUNT = 2_000
+ITERATIONS = 2_000
 REQUEST = (
     b"POST /a/b HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: 9c41d07be2a35f68\r\n"
     b"X-Deadline-Ms: 15000\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"b\r\nhello world\r\n0\r\n\r\n"
 )
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-_DATA = b"id: 12\ndata: " + b"x" * 48 + b"\n\n"
-EVENT = b"%x\r\n%b\r\n" % (len(_DATA), _DATA)
-BAD = {
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+_EVENT_DATA = b"id: 12\ndata: " + b"x" * 48 + b"\n\n"
+EVENT = b"%x\r\n%b\r\n" % (len(_EVENT_DATA), _EVENT_DATA)
+MALFORMED_REQUESTS = {
     "both lengths": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
     b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "doubled length": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"
@@ -30,15 +30,15 @@
 }
 
 
-class _Ignore:
-    """Takes httptools' callbacks."""
+class _IgnoreCallbacks:
+    """Ignores the callbacks of an httptools parser."""
 
     def on_body(self, body):
-        """Take a part of a body."""
+        """Ignore a part of a body."""
 
 
 def _httptools_request(data):
-    httptools.HttpRequestParser(_Ignore()).feed_data(data)
+    httptools.HttpRequestParser(_IgnoreCallbacks()).feed_data(data)
 
 
 def _h11_request(data):
@@ -48,28 +48,28 @@
         pass
 
 
-class _Answered(http.Request):
-    """A request that is answered at once."""
+class _EmptyResponseRequest(http.Request):
+    """A request that gets an empty response immediately."""
 
     def process(self):
-        """Answer."""
+        """Send the empty response."""
         self.write(b"")
         self.finish()
 
 
 def _twisted_request(data):
     channel = http.HTTPChannel()
-    channel.requestFactory = _Answered
+    channel.requestFactory = _EmptyResponseRequest
     sink = StringTransport()
     channel.makeConnection(sink)
     channel.dataReceived(data)
     if b"400 Bad Request" in sink.value():
-        raise ValueError("refused")
+        raise ValueError("request rejected with status 400")
 
 
 def _httptools_events(count):
-    parser = httptools.HttpResponseParser(_Ignore())
-    parser.feed_data(HEAD)
+    parser = httptools.HttpResponseParser(_IgnoreCallbacks())
+    parser.feed_data(RESPONSE_HEAD)
     for _ in range(count):
         parser.feed_data(EVENT)
 
@@ -78,7 +78,7 @@
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
     connection.send(h11.EndOfMessage())
-    connection.receive_data(HEAD)
+    connection.receive_data(RESPONSE_HEAD)
     connection.next_event()
     for _ in range(count):
         connection.receive_data(EVENT)
@@ -95,13 +95,13 @@
 def _microseconds(function) -> float:
     samples = []
     for _ in range(REPEATS):
-        began = time.process_time()
+        started = time.process_time()
         function()
-        samples.append((time.process_time() - began) / COUNT * 1e6)
+        samples.append((time.process_time() - started) / ITERATIONS * 1e6)
     return statistics.median(samples)
 
 
-def _refuses(parse, data) -> str:
+def _verdict(parse, data) -> str:
     try:
         parse(data)
     except Exception:
@@ -116,9 +116,9 @@
         ("h11 0.16", _h11_request, _h11_events),
         ("twisted.web 26.10", _twisted_request, _twisted_events),
     ):
-        request_us = _microseconds(lambda parse=parse: [parse(REQUEST) for _ in range(COUNT)])
-        event_us = _microseconds(lambda events=events: events(COUNT))
-        verdicts = " | ".join(_refuses(parse, data) for data in BAD.values())
+        request_us = _microseconds(lambda parse=parse: [parse(REQUEST) for _ in range(ITERATIONS)])
+        event_us = _microseconds(lambda events=events: events(ITERATIONS))
+        verdicts = " | ".join(_verdict(parse, data) for data in MALFORMED_REQUESTS.values())
         print(f"| `{name}` | {request_us:.1f} | {event_us:.1f} | {verdicts} |")
 
 
