--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Starts turnward's processes and the stand-ins on loopback, for demos, tests and benchmarks.
+"""Starts routers and stand-ins on loopback as processes, for demos, tests and benchmarks.
 
-The product itself starts no process; this script does, and stops each by its id.
+Only processes started by this module are stopped by it.
 """
 
 import hashlib
@@ -24,20 +24,21 @@
 
 OPERATOR_KEY = "operator-key"
 _PORTS = range(12_000, 32_000)
-#: Processes that follow each other begin so far apart that their fleets share no port.
-_PORTS_A_PROCESS = 307
-_FIRST = os.getpid() * _PORTS_A_PROCESS % len(_PORTS)
-_ports = itertools.cycle([*_PORTS[_FIRST:], *_PORTS[:_FIRST]])
-_START_LIMIT_S = 60.0
-_POLL_S = 0.02
-_STOP_LIMIT_S = 10.0
+#: Offset between the first ports of processes with consecutive ids, so that fleets started
+#: in parallel do not share ports.
+_PORTS_PER_PROCESS = 307
+_FIRST_INDEX = os.getpid() * _PORTS_PER_PROCESS % len(_PORTS)
+_ports = itertools.cycle([*_PORTS[_FIRST_INDEX:], *_PORTS[:_FIRST_INDEX]])
+_START_TIMEOUT_S = 60.0
+_POLL_INTERVAL_S = 0.02
+_STOP_TIMEOUT_S = 10.0
 
 
 def free_port() -> int:
-    """Return a port that is free now and was not given out before.
+    """Return a port that is free now and that this process did not return recently.
 
-    Ports lie below the range that outgoing connections take theirs from, so
-    that none of those can take one between this look and its use.
+    The ports lie below the ephemeral range, so that no outgoing connection can
+    take one between this check and its use.
     """
     while True:
         port = next(_ports)
@@ -86,14 +87,14 @@
 
 
 class LocalFleet:
-    """A platform stand-in, endpoints and routers as separate processes.
+    """A platform stand-in, endpoints and routers, each in a process of its own.
 
     Parameters
     ----------
     folder : str, optional
-        Where settings and logs go; a temporary folder by default.
+        Folder for settings and logs; a temporary folder by default.
     command : list of str, optional
-        How to call turnward.
+        Command that runs turnward; by default the module, with the current interpreter.
     """
 
     def __init__(self, folder: str = "", command: list[str] | None = None):
@@ -101,7 +102,7 @@
         self._command = command or [sys.executable, "-m", "turnward"]
         self._processes: list[subprocess.Popen] = []
         self.routers: list[RouterHandle] = []
-        self._unready: list[str] = []
+        self._pending_urls: list[str] = []
         self.platform_port = free_port()
         self.key_file = self.folder / "operator.key"
         self.key_file.write_text(OPERATOR_KEY)
@@ -112,41 +113,41 @@
         return f"http://127.0.0.1:{self.platform_port}"
 
     def start_platform(self) -> None:
-        """Start the platform stand-in and wait until it answers."""
+        """Start the platform stand-in and wait until it responds."""
         self.start("platform", "standin", "platform", f"127.0.0.1:{self.platform_port}")
         self.wait_for(f"{self.platform_url}/counts")
 
     def start_engine(self, name: str, slots: int = 8, step_s: float = 0.01) -> int:
-        """Start a model engine stand-in; return its port; see `wait_ready`."""
+        """Start a model engine stand-in and return its port; `wait_ready` waits for it."""
         port = free_port()
         address = f"127.0.0.1:{port}"
         self.start(name, "standin", "engine", address, f"--slots={slots}", f"--step_s={step_s}")
-        self._unready.append(f"http://{address}/load")
+        self._pending_urls.append(f"http://{address}/load")
         return port
 
     def start_service(self, name: str) -> int:
-        """Start a plain service stand-in; return its port; see `wait_ready`."""
+        """Start a service stand-in and return its port; `wait_ready` waits for it."""
         port = free_port()
         self.start(name, "standin", "service", f"127.0.0.1:{port}")
-        self._unready.append(f"http://127.0.0.1:{port}/calls")
+        self._pending_urls.append(f"http://127.0.0.1:{port}/calls")
         return port
 
     def start_router(self, instance: str, zone: str, region: str = "ost", **settings):
-        """Start a router, list it, and return its handle; ``settings`` overrides defaults."""
+        """Register and start a router, and return its handle; ``settings`` override defaults."""
         router = RouterHandle(instance, zone, region)
         path = self.folder / f"{instance}.toml"
         path.write_bytes(msgspec.toml.encode(self._settings(router) | settings))
         self.list_instance(instance)
         router.process = self.start(instance, "router", str(path))
         self.routers.append(router)
-        self._unready.append(f"{router.callers_url}/health")
+        self._pending_urls.append(f"{router.callers_url}/health")
         return router
 
     def wait_ready(self) -> None:
-        """Wait until every started process answers."""
-        while self._unready:
-            self.wait_for(self._unready[0])
-            self._unready.pop(0)
+        """Wait until every started engine, service and router responds."""
+        while self._pending_urls:
+            self.wait_for(self._pending_urls[0])
+            self._pending_urls.pop(0)
 
     def _settings(self, router: RouterHandle) -> dict:
         return {
@@ -161,73 +162,76 @@
         }
 
     def start(self, name: str, *arguments: str) -> subprocess.Popen:
-        """Start one process of turnward, its output in a log file."""
-        log = (self.folder / f"{name}.log").open("ab")
+        """Start a turnward process that writes its output to a log file."""
+        log_file = (self.folder / f"{name}.log").open("ab")
         process = subprocess.Popen(
-            [*self._command, *arguments], stdout=log, stderr=log, stdin=subprocess.DEVNULL
+            [*self._command, *arguments], stdout=log_file, stderr=log_file, stdin=subprocess.DEVNULL
         )
-        log.close()
+        log_file.close()
         self._processes.append(process)
         return process
 
     def wait_for(self, url: str) -> None:
-        """Wait until an address answers with status 200."""
-        deadline = time.monotonic() + _START_LIMIT_S
+        """Wait until a URL responds with status 200."""
+        deadline = time.monotonic() + _START_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
                 if http_call("GET", url, timeout_s=1.0)[0] == 200:
                     return
             except OSError:
                 pass
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
         raise TimeoutError(f"{url} did not answer; see the logs in {self.folder}")
 
     def list_instance(self, instance: str, leaving: bool = False) -> None:
-        """Put an instance on the platform's list."""
+        """Add an instance to the platform's instance list, or update its entry."""
         body = {"instance": instance, "leaving": leaving}
         http_call("PUT", f"{self.platform_url}/instances", body)
 
     def unlist_instance(self, instance: str) -> None:
-        """Take an instance off the platform's list."""
+        """Remove an instance from the platform's instance list."""
         body = {"instance": instance, "leaving": True}
         http_call("DELETE", f"{self.platform_url}/instances", body)
 
     def kill(self, router: RouterHandle) -> None:
-        """Kill a router without warning; the platform notices."""
+        """Kill a router with SIGKILL and remove it from the platform's instance list."""
         router.process.kill()
         router.process.wait()
         self.unlist_instance(router.instance)
 
     def set_faults(self, **faults) -> None:
-        """Switch the platform's faults."""
+        """Set the faults that the platform stand-in injects."""
         http_call("POST", f"{self.platform_url}/faults", faults)
 
     def scan(self, prefix: str) -> list[dict]:
-        """Return the table's rows under a prefix."""
+        """Return the rows of the platform's table whose keys begin with a prefix."""
         query = {"prefix": prefix, "limit": 1_000_000}
         return msgspec.json.decode(http_call("POST", f"{self.platform_url}/table/scan", query)[2])
 
     def operator(self, router: RouterHandle, method: str, path: str, body=None):
-        """Ask a router's operators' face; return status and decoded answer."""
+        """Call a router's operators' HTTP API; return the status and the decoded response."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
-        status, _, answer = http_call(method, router.operators_url + path, body, headers)
-        return status, msgspec.json.decode(answer)
+        status, _, response_body = http_call(method, router.operators_url + path, body, headers)
+        return status, msgspec.json.decode(response_body)
 
     def apply_file(
         self, router: RouterHandle, path: str, ports: dict[str, int], slots: int = 0
     ) -> None:
-        """Apply a resource file with real ports, and ``slots`` for each endpoint if above 0."""
+        """Apply a resource file with its example ports replaced by those of this fleet.
+
+        ``slots``, if above 0, replaces the slots of each endpoint.
+        """
         text = Path(path).read_text()
         if slots:
             text = re.sub(r"slots = \d+", f"slots = {slots}", text)
-        for example, real in ports.items():
-            text = text.replace(f"127.0.0.1:{example}", f"127.0.0.1:{real}")
+        for example_port, real_port in ports.items():
+            text = text.replace(f"127.0.0.1:{example_port}", f"127.0.0.1:{real_port}")
         copy = self.folder / Path(path).name
         copy.write_text(text)
         command = [*self._command, "apply", router.operators_url, str(self.key_file), str(copy)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
-        if done.returncode:
-            raise RuntimeError(f"apply failed: {done.stderr}")
+        result = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
+        if result.returncode:
+            raise RuntimeError(f"apply failed: {result.stderr}")
 
     def wait_until(self, condition, limit_s: float = 15.0):
         """Wait until ``condition()`` is true and return its value."""
@@ -236,16 +240,16 @@
             value = condition()
             if value:
                 return value
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
         raise TimeoutError(f"condition not met in {limit_s} s; see the logs in {self.folder}")
 
     def stop(self) -> None:
-        """Stop every process that was started here, by its id."""
+        """Kill every process that this fleet started, and wait for its end."""
         for process in reversed(self._processes):
             if process.poll() is None:
                 process.send_signal(signal.SIGKILL)
         for process in self._processes:
-            process.wait(timeout=_STOP_LIMIT_S)
+            process.wait(timeout=_STOP_TIMEOUT_S)
 
     def __enter__(self):
         return self
