--- a/tools/markdown.py
+++ b/tools/markdown.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Tables in Markdown, for pages that are made from figures."""
+"""Markdown tables for generated pages."""
 
 __all__ = ["table"]
 
 
 def table(head: list[str], rows: list[list[str]]) -> str:
-    """Return a Markdown table."""
-    parts = [head, ["---"] * len(head), *rows]
-    return "\n".join("| " + " | ".join(row) + " |" for row in parts)
+    """Return a Markdown table with the given header and rows."""
+    lines = [head, ["---"] * len(head), *rows]
+    return "\n".join("| " + " | ".join(row) + " |" for row in lines)
--- a/tools/package_pages.py
+++ b/tools/package_pages.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Keeps the API part of docs/packages/NAME.md in step with the code.
+"""Generates the API section of docs/packages/NAME.md from the docstrings.
 
-The narrative above the marker is written by hand; what follows it is made from
-the docstrings.
+The text above the marker is written by hand and kept; everything below the marker
+is replaced.
 """
 
 import ast
@@ -16,12 +16,12 @@
 
 
 def packages() -> list[Path]:
-    """Return the sub-packages' folders."""
+    """Return the folders of turnward's subpackages."""
     return sorted(path.parent for path in Path("turnward").glob("*/__init__.py"))
 
 
 def render(package: Path, page: str) -> str:
-    """Return a page with its API part made anew."""
+    """Return the page with its API section regenerated."""
     narrative = page.partition(MARKER)[0].rstrip()
     parts = [narrative, "", MARKER, "", "## API"]
     for path in sorted(package.glob("*.py")):
@@ -32,8 +32,8 @@
 
 def _module(path: Path) -> list[str]:
     tree = ast.parse(path.read_text())
-    dotted = ".".join(path.with_suffix("").parts)
-    lines = ["", f"### {dotted}", "", _summary(tree), ""]
+    module_name = ".".join(path.with_suffix("").parts)
+    lines = ["", f"### {module_name}", "", _summary(tree), ""]
     public = _public_names(tree)
     for node in tree.body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef) and node.name in public:
@@ -53,7 +53,7 @@
 
 
 def main() -> int:
-    """Write every page; return 1 when a package has none."""
+    """Update every page; return 1 if a package has no page."""
     status = 0
     for package in packages():
         page = PAGES / f"{package.name}.md"
--- a/tools/settings_reference.py
+++ b/tools/settings_reference.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""Makes docs/operators/settings.md from the settings type, so that it can't fall behind."""
+"""Generates docs/operators/settings.md from the type of the router's settings."""
 
 import sys
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 PAGE = Path("docs/operators/settings.md")
 
-#: What each setting does; a test compares the keys with the type's fields.
+#: Description of each setting; a test checks that the keys are the fields of `RouterSettings`.
 MEANINGS = {
     "instance": "name of the instance, unique in the fleet",
     "zone": "availability zone it stands in",
@@ -50,7 +50,7 @@
 
 
 def render() -> str:
-    """Return the page."""
+    """Return the page's text."""
     rows = []
     for field in msgspec.structs.fields(RouterSettings):
         default = "required" if field.required else repr(field.default)
