--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -643,7 +643,7 @@
     assert known == AccountRow(100, 1, 9, {"a@2": 3, "ab@1": 7})
 
 
-def test_refusal_is_at_once_while_the_store_is_not_reached():
+def test_refusal_is_immediate_while_the_store_is_unreachable():
     simulation = PrepaidSimulation()
     for store in simulation.stores:
         while store.decide("refused"):
@@ -651,7 +651,7 @@
     assert simulation.routers[0].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
-def test_urgent_requests_go_first_while_the_store_is_not_reached():
+def test_urgent_requests_have_priority_while_the_store_is_unreachable():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
     answer_all_calls(simulation)
