--- a/turnward/gateway/lenders.py
+++ b/turnward/gateway/lenders.py
@@ -36,8 +36,8 @@
         self._call = call
         self._clock = clock
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         oldest_s = self._clock() - _SURPLUS_TTL_S
         offers = [
             (peer.address, offer.tokens)
@@ -48,8 +48,8 @@
         ]
         return sorted(offers, key=lambda offer: -offer[1])
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
         body = await self._call(
             address, LOANS_PATH, msgspec.msgpack.encode(request), _LOAN_TIMEOUT_S
         )
@@ -80,10 +80,10 @@
         self._clock = clock
         self._empty_until_s: dict[tuple[str, str], float] = {}
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         if self._holders.all_routers_hold:
-            return self._peers.spare(workspace)
+            return self._peers.surplus(workspace)
         now_s = self._clock()
         return [
             (address, _ASSUMED_SURPLUS_TOKENS)
@@ -91,9 +91,9 @@
             if self._empty_until_s.get((workspace, address), 0.0) <= now_s
         ]
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
-        tokens = await self._peers.ask(address, request)
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
+        tokens = await self._peers.request_loan(address, request)
         if not tokens:
             self._empty_until_s[request.workspace, address] = self._clock() + _EMPTY_BACKOFF_S
         return tokens
--- a/turnward/gateway/loans.py
+++ b/turnward/gateway/loans.py
@@ -103,21 +103,21 @@
     """Peers that may lend tokens."""
 
     @abstractmethod
-    def spare(self, workspace: str) -> list[tuple[str, int]]:
+    def surplus(self, workspace: str) -> list[tuple[str, int]]:
         """Return address and surplus tokens of each peer that has some, largest surplus first."""
 
     @abstractmethod
-    async def ask(self, address: str, request: LoanAsk) -> int:
+    async def request_loan(self, address: str, request: LoanAsk) -> int:
         """Return the tokens that a peer lends; 0 if it lends none or did not respond."""
 
 
 class NoLenders(LenderBase):
     """No lenders, for a router without peers."""
 
-    def spare(self, workspace):
-        """See ``LenderBase.spare``."""
+    def surplus(self, workspace):
+        """See ``LenderBase.surplus``."""
         return []
 
-    async def ask(self, address, request):
-        """See ``LenderBase.ask``."""
+    async def request_loan(self, address, request):
+        """See ``LenderBase.request_loan``."""
         return 0
--- a/turnward/gateway/peers.py
+++ b/turnward/gateway/peers.py
@@ -239,12 +239,12 @@
             loads=tuple(self._loads()[:_MAX_LOADS]),
             stopping=self.stopping,
             short=self._accounts.short,
-            spare=tuple(self._accounts.spare()[:_MAX_LOAN_OFFERS])
+            spare=tuple(self._accounts.surplus()[:_MAX_LOAN_OFFERS])
             if self._any_peer_short()
             else (),
             zone_orders=self._state.announced_zone_orders(),
             quarantine=self._quarantine.make_update(),
-            words=self._feedback_exchange.words(),
+            words=self._feedback_exchange.updates(),
             limits=self._limits.announced(),
             accounts=self._accounts.updates.announced(),
         )
@@ -386,13 +386,13 @@
         else:
             request.answer(404, [])
 
-    def _lend(self, request: InboundRequest, ask: LoanAsk) -> None:
+    def _lend(self, request: InboundRequest, loan_request: LoanAsk) -> None:
         """Answer a peer's loan request."""
-        if not ask.for_request:
-            loan = Loan(self._accounts.lend(ask))
+        if not loan_request.for_request:
+            loan = Loan(self._accounts.lend(loan_request))
             request.answer(200, [], msgspec.msgpack.encode(loan))
             return
-        pending_loan = self._accounts.lend_for_request(ask)
+        pending_loan = self._accounts.lend_for_request(loan_request)
         request.on_disconnect = pending_loan.cancel
 
         def respond(loan: Loan) -> None:
