--- a/turnward/budgets/billing.py
+++ b/turnward/budgets/billing.py
@@ -58,7 +58,7 @@
     ----------
     written : list of Bill
         Bills that are now stored.
-    doubled : list of tuple
+    duplicates : list of tuple
         Bills not written, each with the stored bill of the same request id.
     orphaned : list of Bill
         Bills not written because the grant that they are charged to is closed.
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -463,7 +463,7 @@
     assert is_caught(lambda seed: run_schedule(random_schedule(seed), broken), seeds=3_000)
 
 
-def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
+def test_successor_returns_what_the_crashed_router_cannot_have_spent():
     simulation = PrepaidSimulation()
     simulation.spend(0, 30)
     answer_all_calls(simulation)
@@ -678,7 +678,7 @@
     assert refused == [BudgetRefusal.UNREACHABLE]
 
 
-def test_only_the_first_request_waits_for_a_store_that_is_silent():
+def test_only_the_first_request_waits_for_an_unresponsive_store():
     simulation = PrepaidSimulation()
     answers = []
     simulation.routers[0].reserve("acme", 5).addCallback(answers.append)
--- a/turnward/standins/rows.py
+++ b/turnward/standins/rows.py
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    away : bool
+    unavailable : bool
         Every call fails and nothing is done.
     lost_share : float
         Part of the writes that are done and not answered.
