--- a/turnward/gateway/borrowing.py
+++ b/turnward/gateway/borrowing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: BSD-3-Clause
-"""The borrower's side of loans: which peers are asked, for how many tokens, and what they lend."""
+"""The borrower's side of loans: loan requests to peers, and the tokens that they lend."""
 
 from collections.abc import Callable
 
@@ -53,17 +53,19 @@
 
     def lendable_tokens(self, workspace: str) -> int:
         """Return the tokens that all peers together offer to lend."""
-        return sum(tokens for _, tokens in self.lenders.spare(workspace))
+        return sum(tokens for _, tokens in self.lenders.surplus(workspace))
 
     async def borrow(self, account: WorkspaceAccount) -> None:
         """Ask one peer after another until the waiting requests have enough tokens."""
         account.borrowing = True
         try:
-            for address, _ in self.lenders.spare(account.workspace)[: self._rule.max_lenders]:
+            for address, _ in self.lenders.surplus(account.workspace)[: self._rule.max_lenders]:
                 request = self._loan_request(account)
                 if request is None:
                     return
-                self._add_loan(account, address, request, await self.lenders.ask(address, request))
+                self._add_loan(
+                    account, address, request, await self.lenders.request_loan(address, request)
+                )
         finally:
             account.borrowing = False
 
--- a/turnward/gateway/choice.py
+++ b/turnward/gateway/choice.py
@@ -50,7 +50,7 @@
 #: Time between two classifications of the engines; peers report their measurements as often.
 _CLASSIFY_INTERVAL_S = 0.25
 #: Cost of any prompt on a very slow engine.
-_COST_OF_CRAWLING_MS = 200.0
+_COST_OF_VERY_SLOW_MS = 200.0
 #: Number and share of a pool's entries that must be missing at once to count as lapsed because of
 #: the store; releases and scaling remove entries one by one.
 _MIN_LAPSED = 2
@@ -133,12 +133,12 @@
     ----------
     reason : Reason
         Why the endpoint that accepts requests first does not accept them now.
-    opens_in_s : float
+    available_in_s : float
         Time until it does; infinite if none will.
     """
 
     reason: Reason
-    opens_in_s: float
+    available_in_s: float
 
 
 _NO_ENDPOINT = PoolShortage(Reason.NO_ENDPOINT, math.inf)
@@ -204,24 +204,26 @@
         self.on_speed_class: Callable[[EndpointRecord, EventGaps, EventGaps], None]
         self.on_speed_class = _ignore_change
         self._dialect = dialect or Dialect()
-        #: Called with the record, the reason and the answer's headers when an endpoint's feedback
+        #: Called with the record, the reason and the response's headers when an endpoint's feedback
         #: makes it unavailable.
         self.on_feedback: Callable[[EndpointRecord, UnavailableReason, HeaderList], None]
         self.on_feedback = _ignore_change
-        #: Called with the record, the limit and the answer's headers when an endpoint changes its
+        #: Called with the record, the limit and the response's headers when an endpoint changes its
         #: rate limit; the limit is None when it is lifted.
         self.on_rate_limit: Callable[[EndpointRecord, float | None, HeaderList], None]
         self.on_rate_limit = _ignore_change
 
-    def set_entries(self, entries: dict[str, EndpointEntry], store_was_away: bool = False) -> None:
+    def set_entries(
+        self, entries: dict[str, EndpointEntry], store_was_unavailable: bool = False
+    ) -> None:
         """Replace all entries; records of endpoints that remain are kept.
 
         An endpoint restarted under the same id gets a new record, since failures, backoff and
         cached prompt parts belong to the earlier process.
 
-        ``store_was_away`` tells that the store was unreachable until just now.
+        ``store_was_unavailable`` is set if the store was unreachable until now.
         """
-        retained = self._retained_incarnations(entries, store_was_away)
+        retained = self._retained_incarnations(entries, store_was_unavailable)
         for record in list(self._records.values()):
             entry = entries.get(record.endpoint_id)
             if entry is None and record.incarnation in retained:
@@ -244,7 +246,7 @@
             self._by_pool.setdefault(record.entry.pool, []).append(record)
 
     def _retained_incarnations(
-        self, entries: dict[str, EndpointEntry], store_was_away: bool
+        self, entries: dict[str, EndpointEntry], store_was_unavailable: bool
     ) -> set[str]:
         """Return the endpoints that stay in use for a while although their entries are missing.
 
@@ -260,7 +262,7 @@
                 for record in records
                 if record.endpoint_id not in entries and not record.availability.draining
             ]
-            many = store_was_away and len(missing) >= max(
+            many = store_was_unavailable and len(missing) >= max(
                 _MIN_LAPSED, _MIN_LAPSED_SHARE * len(records)
             )
             retained.update(
@@ -302,7 +304,7 @@
             record.availability.entry_draining = entry.leaving
 
     def _apply_feedback(self, record: EndpointRecord, status: int, headers: HeaderList) -> None:
-        """Apply the feedback in the head of any answer of an endpoint."""
+        """Apply the feedback in the head of any response of an endpoint."""
         feedback = parse_feedback(status, headers, self._dialect)
         if feedback is None:
             return
@@ -312,11 +314,11 @@
             self.on_feedback(record, reason, headers)
         if feedback.limit_per_s is None or self._limits is None:
             return
-        if self._limits.name(record.incarnation, feedback.limit_per_s):
+        if self._limits.set_limit(record.incarnation, feedback.limit_per_s):
             self.on_rate_limit(record, feedback.limit_per_s, headers)
 
     def note_success(self, record: EndpointRecord, sent_s: float, headers: HeaderList) -> None:
-        """Process the head of a successful answer; one without a rate limit may lift the limit.
+        """Process the head of a successful response; one without a rate limit may lift the limit.
 
         Failures lift no limit, since they may be generated before the endpoint sets its headers.
         """
@@ -334,7 +336,7 @@
         unavailable_reason = record.availability.unavailable_reason(self._clock())
         if unavailable_reason is not None or self._limits is None:
             return unavailable_reason
-        if self._limits.opens_in_s(record.incarnation) > 0:
+        if self._limits.available_in_s(record.incarnation) > 0:
             return UnavailableReason.RATE_LIMITED
         self._limits.note_sent(record.incarnation)
         return None
@@ -370,7 +372,7 @@
         return [_load_of(record, now_s) for record in self._records.values() if record.in_flight]
 
     def has_other(self, pool: str, excluded: set[str]) -> bool:
-        """Tell whether an endpoint outside ``excluded`` accepts requests."""
+        """Return whether an endpoint outside ``excluded`` accepts requests."""
         return bool(self._candidates(pool, excluded))
 
     def _candidates(self, pool: str, excluded: set[str]) -> list[EndpointRecord]:
@@ -389,19 +391,19 @@
         return [record for record in candidates if self._is_warm_enough(record, traits)]
 
     def _is_present(self, record: EndpointRecord, now_s: float) -> bool:
-        """Tell whether an endpoint has an entry, or may regain it, and its zone is not drained."""
+        """Return whether an endpoint has an entry or may regain it, and its zone is not drained."""
         if record.entry.zone in self._drained:
             return False
         return record.lapsed_s is None or record.may_return(now_s)
 
     def _is_within_limit(self, record: EndpointRecord) -> bool:
-        """Tell whether the endpoint's rate limit lets this router send a request now."""
+        """Return whether the endpoint's rate limit lets this router send a request now."""
         if self._limits is None or not self._limits.is_limited(record.incarnation):
             return True
-        return not record.opening and self._limits.opens_in_s(record.incarnation) <= 0
+        return not record.opening and self._limits.available_in_s(record.incarnation) <= 0
 
     def _is_warm_enough(self, record: EndpointRecord, traits: WarmUpTraits) -> bool:
-        """Tell whether the endpoint's warm-up state lets this router send a request now."""
+        """Return whether the endpoint's warm-up state lets this router send a request now."""
         if record.warm_up.ramp_finished(self._shares.members):
             return True
         allowance = self._shares.allowance(record.endpoint_id, traits.requests_per_s)
@@ -425,8 +427,8 @@
             and record.availability.unavailable_reason(now_s)
             not in (UnavailableReason.REPLACED, UnavailableReason.DRAINING)
         ]
-        first = min(shortages, key=lambda shortage: shortage.opens_in_s, default=_NO_ENDPOINT)
-        return first if first.opens_in_s > 0 else None
+        first = min(shortages, key=lambda shortage: shortage.available_in_s, default=_NO_ENDPOINT)
+        return first if first.available_in_s > 0 else None
 
     def _shortage_of(self, record: EndpointRecord, now_s: float) -> PoolShortage:
         """Return why an endpoint accepts no requests, and for how long."""
@@ -437,7 +439,7 @@
             PoolShortage(Reason.ENDPOINTS_COLD, record.warm_up.cold_for_s),
             PoolShortage(Reason.ENDPOINTS_RATE_LIMITED, limited_for_s),
         )
-        return max(shortages, key=lambda shortage: shortage.opens_in_s)
+        return max(shortages, key=lambda shortage: shortage.available_in_s)
 
     def choose(
         self,
@@ -584,7 +586,7 @@
 def _speed_cost_ms(prompt: Prompt, speed_class: SpeedClass) -> float:
     """Return what the speed class of an engine adds to the cost of a prompt."""
     if speed_class is SpeedClass.CRAWLING:
-        return _COST_OF_CRAWLING_MS
+        return _COST_OF_VERY_SLOW_MS
     if prompt.tokens >= _LONG_PROMPT_TOKENS:
         return _COST_OF_LONG_ON_SLOWER_MS if speed_class is SpeedClass.SLOWER else 0.0
     return _COST_OF_SHORT_BESIDE_LONG_MS if speed_class is SpeedClass.USUAL else 0.0
--- a/turnward/gateway/feedback_exchange.py
+++ b/turnward/gateway/feedback_exchange.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 """Exchange of endpoint feedback among routers.
 
-An endpoint tells each router separately that it drains or asks for backoff, so every router of a
+An endpoint announces draining and backoff to each router separately, so every router of a
 fleet would send it one useless request to find out. Feedback received from another router is
 advisory: the endpoint is deprioritized, but still chosen if no other is left, because the backoff
-was asked of that other router only.
+was requested of that other router only.
 """
 
 from collections import OrderedDict
@@ -18,7 +18,7 @@
 _ANNOUNCE_S = 5.0
 #: Bounds the size of a message.
 _MAX_UPDATES = 32
-#: Endpoints remembered, so that an update that comes back from peers is not announced again.
+#: Endpoints remembered, so that an update received back from peers is not announced again.
 _MAX_KNOWN = 1_000
 #: A backoff is new only if it ends later than known by more than this, as messages take time.
 _MIN_EXTENSION_S = 0.5
@@ -64,7 +64,7 @@
     --------
     >>> exchange = FeedbackExchange(lambda: 0.0, print)
     >>> exchange.record("e-1", draining=False, backoff_s=2.0)
-    >>> exchange.words()
+    >>> exchange.updates()
     (FeedbackUpdate(endpoint='e-1', draining=False, backoff_left_ms=2000),)
     >>> exchange.merge([FeedbackUpdate("e-1", False, 1_900), FeedbackUpdate("e-2", True, 0)])
     FeedbackUpdate(endpoint='e-2', draining=True, backoff_left_ms=0)
@@ -86,7 +86,7 @@
             if self._merge(update.endpoint, update.draining, update.backoff_left_ms / 1_000):
                 self._on_update(update)
 
-    def words(self) -> tuple[FeedbackUpdate, ...]:
+    def updates(self) -> tuple[FeedbackUpdate, ...]:
         """Return the recent updates to announce, newest first."""
         now_s = self._clock()
         updates = []
--- a/turnward/gateway/peer_book.py
+++ b/turnward/gateway/peer_book.py
@@ -8,7 +8,7 @@
 from turnward.gateway.account_updates import AccountUpdate
 from turnward.gateway.feedback_exchange import FeedbackUpdate
 from turnward.gateway.loans import LoanOffer
-from turnward.gateway.rate_limit import ToldLimit
+from turnward.gateway.rate_limit import RateLimitUpdate
 from turnward.gateway.zone_orders import ZoneOrder
 from turnward.quarantine import EMPTY_QUARANTINE_UPDATE, QuarantineUpdate
 from turnward.rows import RowVersion
@@ -24,9 +24,9 @@
 ]
 
 #: Time after which the load of a silent peer no longer counts.
-_LOAD_LIFE_S = 1.0
+_LOAD_LIFETIME_S = 1.0
 #: Time after which a silent peer no longer counts as live.
-_LIFE_S = 2.5
+_PEER_LIFETIME_S = 2.5
 #: Layout version of the messages between routers; incremented at each change other than appending
 #: fields.
 DIGEST_LAYOUT = 6
@@ -109,7 +109,7 @@
         Runs known to have ended in a crash of their endpoint.
     words : tuple of FeedbackUpdate
         Feedback of endpoints, such as draining or backoff, received lately.
-    limits : tuple of ToldLimit
+    limits : tuple of RateLimitUpdate
         Rate limits that endpoints announced lately.
     accounts : tuple of AccountUpdate
         Contents of the rows of workspaces' tokens that the router has written lately.
@@ -131,7 +131,7 @@
     zone_orders: tuple[ZoneOrder, ...] | None = None
     quarantine: QuarantineUpdate = EMPTY_QUARANTINE_UPDATE
     words: tuple[FeedbackUpdate, ...] = ()
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[RateLimitUpdate, ...] = ()
     endpoints_era: int = 0
     accounts: tuple[AccountUpdate, ...] = ()
 
@@ -249,12 +249,12 @@
 
     def live(self) -> list[Peer]:
         """Return the peers from which a digest was received lately."""
-        since_s = self._clock() - _LIFE_S
+        since_s = self._clock() - _PEER_LIFETIME_S
         return [peer for peer in self._peers.values() if (peer.received_s or -1e9) >= since_s]
 
     def loads(self) -> dict[str, EndpointLoad]:
         """Return the sum of the loads of all peers, by endpoint."""
-        since_s = self._clock() - _LOAD_LIFE_S
+        since_s = self._clock() - _LOAD_LIFETIME_S
         recent_loads = [
             peer.digest.loads
             for peer in self._peers.values()
--- a/turnward/gateway/tests/test_log_events.py
+++ b/turnward/gateway/tests/test_log_events.py
@@ -50,7 +50,7 @@
     assert events_on_page() == events_in_code()
 
 
-def test_story_refers_only_to_documented_events():
+def test_request_history_refers_only_to_documented_events():
     assert events_on_page() >= STATE_CHANGE_EVENTS | TOKEN_EVENTS | CONTENT_EVENTS
 
 
@@ -69,20 +69,20 @@
 
         monkeypatch.setattr(harness_module, "ListLog", make_log)
 
-    def story(self, request_id):
+    def request_history(self, request_id):
         lines = collect_history(read_lines(self.path), request_id, 1e9)
         assert lines
         return [render_line(line) for line in lines]
 
 
-def find_line(story, *expected):
+def find_line(history, *expected):
     """Return the last line that contains all expected texts."""
-    found = [line for line in story if all(text in line for text in expected)]
-    assert found, story
+    found = [line for line in history if all(text in line for text in expected)]
+    assert found, history
     return found[-1]
 
 
-def test_story_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_for_its_budget(monkeypatch, tmp_path):
     workspace = Workspace(name="acme", keys=(KEY.decode(),), prepaid_tokens=1_000)
     logged = LoggingHarness(
         monkeypatch,
@@ -98,17 +98,17 @@
     headers = harness.prompt(5_000, 10)
     caller = harness.ask(method=b"POST", body=b"", request_id=b"lost-1", headers=headers)
     assert caller.status == 402
-    story = logged.story("lost-1")
-    assert "reason=budget_exhausted" in find_line(story, "request.ended")
-    assert "workspace=acme" in find_line(story, "request.ended")
-    assert "ungranted=" in find_line(story, "prepaid.taken")
+    history = logged.request_history("lost-1")
+    assert "reason=budget_exhausted" in find_line(history, "request.ended")
+    assert "workspace=acme" in find_line(history, "request.ended")
+    assert "ungranted=" in find_line(history, "prepaid.taken")
 
 
 @pytest.mark.parametrize(
     ("behave", "status", "expected"),
     [(abort_connection, 502, ("how=lost", "sent=True")), (never_answer, 504, ())],
 )
-def test_story_explains_a_request_answered_502_or_504(
+def test_request_history_explains_a_request_answered_502_or_504(
     monkeypatch, tmp_path, behave, status, expected
 ):
     logged = LoggingHarness(monkeypatch, tmp_path, repeat=RetryPolicy.ONCE, time_limit_s=1.0)
@@ -116,15 +116,17 @@
     logged.harness.ready()
     caller = logged.harness.ask(method=b"POST", body=b"", request_id=b"lost-2")
     assert caller.status == status
-    story = logged.story("lost-2")
-    assert "endpoint=e-1" in find_line(story, "attempt.chosen")
-    assert f"status={status}" in find_line(story, "request.ended")
+    history = logged.request_history("lost-2")
+    assert "endpoint=e-1" in find_line(history, "attempt.chosen")
+    assert f"status={status}" in find_line(history, "request.ended")
     if expected:
-        find_line(story, "attempt.failed", *expected)
-        find_line(story, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
+        find_line(history, "attempt.failed", *expected)
+        find_line(history, "attempt.not_repeated", "why=may_have_run_and_must_run_once")
 
 
-def test_story_explains_a_request_refused_while_the_store_is_unreachable(monkeypatch, tmp_path):
+def test_request_history_explains_a_request_refused_while_the_store_is_unreachable(
+    monkeypatch, tmp_path
+):
     logged = LoggingHarness(monkeypatch, tmp_path)
     logged.harness.endpoint(stream_events(1))
     logged.harness.ready()
@@ -132,9 +134,9 @@
     logged.harness.network.advance(8.0)
     caller = logged.harness.ask(key=b"new-key", request_id=b"lost-3")
     assert caller.status == 503
-    story = logged.story("lost-3")
-    assert "reason=configuration_not_confirmed" in find_line(story, "request.ended")
-    find_line(story, "store.lost", "table=configuration")
+    history = logged.request_history("lost-3")
+    assert "reason=configuration_not_confirmed" in find_line(history, "request.ended")
+    find_line(history, "store.lost", "table=configuration")
 
 
 def test_lost_and_regained_endpoints_and_peers_are_logged():
--- a/turnward/gateway/tests/test_prepaid.py
+++ b/turnward/gateway/tests/test_prepaid.py
@@ -142,23 +142,23 @@
     def other(self):
         return self.simulation.routers[1 - self.index]
 
-    def spare(self, workspace):
+    def surplus(self, workspace):
         if self.other is None:
             return []
-        offers = [spare.tokens for spare in self.other.spare() if spare.workspace == workspace]
+        offers = [offer.tokens for offer in self.other.surplus() if offer.workspace == workspace]
         return [("other", offers[0])] if offers else []
 
-    async def ask(self, address, ask):
+    async def request_loan(self, address, loan_request):
         decided = defer.Deferred()
-        self.pending.append((ask, decided))
+        self.pending.append((loan_request, decided))
         return await decided
 
     def decide(self, outcome):
         """End the oldest request: ``done``, ``lost`` (lent, but unanswered) or ``refused``."""
         if not self.pending:
             return
-        ask, decided = self.pending.pop(0)
-        tokens = self.other.lend(ask) if outcome != "refused" else 0
+        loan_request, decided = self.pending.pop(0)
+        tokens = self.other.lend(loan_request) if outcome != "refused" else 0
         decided.callback(tokens if outcome == "done" else 0)
 
 
@@ -207,8 +207,8 @@
         )
         if previous is not None:
             # Loans requested by the previous incarnation may still be granted, and are lost.
-            for ask, _ in self.lenders[index].pending:
-                self.routers[1 - index].lend(ask)
+            for loan_request, _ in self.lenders[index].pending:
+                self.routers[1 - index].lend(loan_request)
         self.lenders[index] = self.routers[index].lenders = SteppedLenders(self, index)
         self.set_limit(index)
 
@@ -379,22 +379,22 @@
 class KeepsLentTokens(PrepaidAccounts):
     """Broken: does not count lent tokens as spent."""
 
-    def lend(self, ask):
-        return min(ask.desired_tokens, self._lendable_tokens(ask.workspace))
+    def lend(self, loan_request):
+        return min(loan_request.desired_tokens, self._lendable_tokens(loan_request.workspace))
 
 
 class LendsBeyondSpendBound(PrepaidAccounts):
     """Broken: lends all tokens held, regardless of its reports."""
 
-    def lend(self, ask):
-        tokens = min(ask.desired_tokens, self.ledger.free_tokens(ask.workspace))
+    def lend(self, loan_request):
+        tokens = min(loan_request.desired_tokens, self.ledger.free_tokens(loan_request.workspace))
         if tokens <= 0:
             return 0
-        result = self.ledger.reserve(ask.workspace, tokens, self._reactor.seconds(), False)
+        result = self.ledger.reserve(loan_request.workspace, tokens, self._reactor.seconds(), False)
         self.ledger.settle(result.ok, tokens)
         return tokens
 
-    def spare(self):
+    def surplus(self):
         return [LoanOffer("acme", self.ledger.free_tokens("acme"))]
 
 
@@ -420,7 +420,7 @@
 
 
 def is_caught(run_seed, seeds):
-    """Tell whether the checks fail for one of the first seeds, as a broken variant must."""
+    """Return whether the checks fail for one of the first seeds, as a broken variant must."""
 
     def fails(seed):
         try:
@@ -463,7 +463,7 @@
     assert is_caught(lambda seed: run_schedule(random_schedule(seed), broken), seeds=3_000)
 
 
-def test_successor_gives_back_what_the_dead_router_cannot_have_spent():
+def test_successor_returns_what_the_crashed_router_cannot_have_spent():
     simulation = PrepaidSimulation()
     simulation.spend(0, 30)
     answer_all_calls(simulation)
@@ -643,7 +643,7 @@
     assert known == AccountRow(100, 1, 9, {"a@2": 3, "ab@1": 7})
 
 
-def test_refusal_is_at_once_while_the_store_is_not_reached():
+def test_refusal_is_immediate_while_the_store_is_unreachable():
     simulation = PrepaidSimulation()
     for store in simulation.stores:
         while store.decide("refused"):
@@ -651,7 +651,7 @@
     assert simulation.routers[0].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
-def test_urgent_requests_go_first_while_the_store_is_not_reached():
+def test_urgent_requests_have_priority_while_the_store_is_unreachable():
     simulation = PrepaidSimulation()
     simulation.spend(0, 20)
     answer_all_calls(simulation)
@@ -662,7 +662,7 @@
     while simulation.stores[0].decide("refused"):
         pass
     # Lendable tokens of peers would count as well; here no peer can lend.
-    simulation.routers[1].spare = list
+    simulation.routers[1].surplus = list
     assert router.reserve("acme", held - 2, priority=2) is BudgetRefusal.UNREACHABLE
     assert isinstance(router.reserve("acme", held - 2, priority=0), Reservation)
 
@@ -678,7 +678,7 @@
     assert refused == [BudgetRefusal.UNREACHABLE]
 
 
-def test_only_the_first_request_waits_for_a_store_that_is_silent():
+def test_only_the_first_request_waits_for_an_unresponsive_store():
     simulation = PrepaidSimulation()
     answers = []
     simulation.routers[0].reserve("acme", 5).addCallback(answers.append)
@@ -697,7 +697,7 @@
     simulation.spend(0, 20)
     answer_all_calls(simulation)
     simulation.clock.advance(SPEND_ALL_S)
-    held = simulation.routers[0].spare()[0].tokens
+    held = simulation.routers[0].surplus()[0].tokens
     assert held >= 6
     disconnect_store(simulation, 1)
     answers = []
@@ -717,7 +717,7 @@
     simulation.routers[1].reserve("acme", 6).addCallback(answers.append)
     simulation.lenders[1].decide("refused")
     assert answers == [BudgetRefusal.UNREACHABLE]
-    simulation.routers[0].spare = list
+    simulation.routers[0].surplus = list
     assert simulation.routers[1].reserve("acme", 6) is BudgetRefusal.UNREACHABLE
 
 
